--- a/crates/core/src/director/ledger/closed.rs
+++ b/crates/core/src/director/ledger/closed.rs
@@ -9,14 +9,14 @@
 impl Ledger {
     /// Ends everything at the director's own end: requests are answered, and sessions are released on both
     /// sides but where an heir takes them over.
-    pub(in crate::director) fn close(&mut self, bequeath: bool, out: &mut Outbox) {
+    pub(in crate::director) fn close(&mut self, keep_established: bool, out: &mut Outbox) {
         for (id, session) in std::mem::take(&mut self.sessions) {
             answer(id, &session, out);
             match session.stage {
-                Stage::Standing { .. } if bequeath => {}
+                Stage::Standing { .. } if keep_established => {}
                 Stage::Standing { streamer, .. } => release(session.link, id, streamer, out),
                 Stage::Out { streamer, number, .. } => {
-                    out.deeds.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
+                    out.outputs.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
                 }
                 Stage::Deciding | Stage::GivingUp { .. } => {}
             }
@@ -26,7 +26,12 @@
     }
 
     /// Answers what comes after the end.
-    pub(in crate::director) fn hear_after_close(&self, input: Input, bequeath: bool, out: &mut Outbox) {
+    pub(in crate::director) fn handle_input_after_close(
+        &self,
+        input: Input,
+        keep_established: bool,
+        out: &mut Outbox,
+    ) {
         match input {
             Input::Wanted { link, request, .. } => {
                 out.counters.taken += 1;
@@ -34,14 +39,14 @@
             }
             Input::Unusable(link, id) => {
                 out.counters.unusable += 1;
-                out.deeds.push(Deed::Spurn(link, id));
+                out.outputs.push(Deed::Spurn(link, id));
             }
-            Input::Playing { link, request, streamer } if !bequeath => {
+            Input::Playing { link, request, streamer } if !keep_established => {
                 release(link, request.id, streamer, out);
             }
             Input::Stands { streamer, session, .. } => {
                 out.counters.late_answers += 1;
-                out.deeds.push(Deed::Drop(streamer, session));
+                out.outputs.push(Deed::Drop(streamer, session));
             }
             _ => {}
         }
@@ -58,18 +63,18 @@
     }
     out.counters.failed += 1;
     out.answered(session.class, |c| &mut c.faulted);
-    out.deeds.push(Deed::Fail(session.link, id));
+    out.outputs.push(Deed::Fail(session.link, id));
 }
 
 fn refuse(link: ViewerLink, id: RequestId, class: ClassId, out: &mut Outbox) {
     out.counters.refused += 1;
     out.answered(class, |c| &mut c.throttled);
-    out.deeds.push(Deed::Refuse(link, id, HOLD_OFF_US));
+    out.outputs.push(Deed::Refuse(link, id, HOLD_OFF_US));
 }
 
 /// Releases a session on both sides.
 fn release(link: ViewerLink, id: RequestId, streamer: StreamerId, out: &mut Outbox) {
     out.counters.cut += 1;
-    out.deeds.push(Deed::Release(link, id, Over::Cut));
-    out.deeds.push(Deed::Drop(streamer, id));
+    out.outputs.push(Deed::Release(link, id, Over::Cut));
+    out.outputs.push(Deed::Drop(streamer, id));
 }
--- a/crates/core/src/director/ledger/mod.rs
+++ b/crates/core/src/director/ledger/mod.rs
@@ -73,7 +73,7 @@
 #[derive(Default)]
 pub(in crate::director) struct Outbox {
     pub(in crate::director) events: Vec<Event>,
-    pub(in crate::director) deeds: Vec<Deed>,
+    pub(in crate::director) outputs: Vec<Deed>,
     pub(in crate::director) counters: Counters,
 }
 
@@ -85,7 +85,7 @@
             Over::Cut => self.counters.cut += 1,
             Over::Left => return self.counters.viewer_ended += 1,
         }
-        self.deeds.push(Deed::Release(link, id, why));
+        self.outputs.push(Deed::Release(link, id, why));
     }
 
     /// Counts a final answer to a request of a class.
@@ -138,18 +138,18 @@
     }
 
     /// The sessions that stand, and their rungs.
-    pub(in crate::director) fn estate(&self) -> Vec<(RequestId, usize)> {
+    pub(in crate::director) fn session_rungs(&self) -> Vec<(RequestId, usize)> {
         let standing = self.sessions.iter().filter(|(_, s)| matches!(s.stage, Stage::Standing { .. }));
         standing.map(|(id, s)| (*id, s.rung)).collect()
     }
 
     /// Takes what the process before this one left, for when it is handed over.
-    pub(in crate::director) fn inherit(&mut self, estate: Vec<(RequestId, usize)>) {
-        self.left.extend(estate);
+    pub(in crate::director) fn restore_rungs(&mut self, rungs: Vec<(RequestId, usize)>) {
+        self.left.extend(rungs);
     }
 
     /// Whether a session is on the books.
-    pub(in crate::director) fn holds(&self, id: RequestId) -> bool {
+    pub(in crate::director) fn contains(&self, id: RequestId) -> bool {
         self.sessions.contains_key(&id)
     }
 
@@ -166,22 +166,22 @@
     }
 
     /// How many sessions stand at a streamer.
-    pub(in crate::director) fn standing_at(&self, streamer: StreamerId) -> usize {
+    pub(in crate::director) fn established_at(&self, streamer: StreamerId) -> usize {
         self.standing_at.get(&streamer).map_or(0, BTreeSet::len)
     }
 
     /// How many requests still wait for their final answer.
-    pub(in crate::director) fn owed(&self) -> usize {
+    pub(in crate::director) fn pending_requests(&self) -> usize {
         self.links.values().map(|l| l.open.len()).sum()
     }
 
     /// How many requests wait for their final answer, or have a session that stands.
-    pub(in crate::director) fn open(&self) -> usize {
+    pub(in crate::director) fn open_requests(&self) -> usize {
         self.links.values().map(|l| l.open.len() + l.standing).sum()
     }
 
     /// Requests that wait for their final answer on a connection, and sessions that stand from it.
-    pub(in crate::director) fn on_link(&self, link: ViewerLink) -> (usize, usize) {
+    pub(in crate::director) fn counts_on_link(&self, link: ViewerLink) -> (usize, usize) {
         self.links.get(&link).map_or((0, 0), |l| (l.open.len(), l.standing))
     }
 
@@ -204,7 +204,7 @@
         }
     }
 
-    pub(in crate::director) fn hear(&mut self, now: Micros, input: Input, out: &mut Outbox) {
+    pub(in crate::director) fn handle_input(&mut self, now: Micros, input: Input, out: &mut Outbox) {
         match input {
             Input::List { scope, entries } => self.list(scope, entries, out),
             Input::Wanted { link, request, parcel } => self.wanted(now, link, request, parcel, out),
@@ -217,7 +217,7 @@
             }
             Input::Undelivered(id) => self.undelivered(id, out),
             Input::Unread(id) => {
-                out.counters.undelivered += u64::from(self.holds(id));
+                out.counters.undelivered += u64::from(self.contains(id));
                 self.end_on_both_sides(id, Over::Cut, Outcome::Canceled, out);
             }
             Input::Stands { streamer, session, number, description } => {
@@ -287,7 +287,7 @@
     }
 
     /// Carries out what the module decided.
-    pub(in crate::director) fn act(&mut self, now: Micros, action: Action, out: &mut Outbox) {
+    pub(in crate::director) fn apply_action(&mut self, now: Micros, action: Action, out: &mut Outbox) {
         match action {
             Action::Send { request, streamer, try_for_us } => {
                 self.send(now, request, streamer, try_for_us, out)
@@ -297,21 +297,21 @@
                 session.rung = rung;
                 if let Stage::Standing { streamer, .. } = session.stage {
                     out.counters.rung_changes += 1;
-                    out.deeds.push(Deed::Rung(streamer, request, rung));
+                    out.outputs.push(Deed::Rung(streamer, request, rung));
                 }
             }
             Action::Refuse { request, hold_off_us } => {
                 if let Some((link, class)) = self.settle(request) {
                     out.counters.refused += 1;
                     out.answered(class, |c| &mut c.throttled);
-                    out.deeds.push(Deed::Refuse(link, request, hold_off_us));
+                    out.outputs.push(Deed::Refuse(link, request, hold_off_us));
                 }
             }
             Action::EndFailed(request) => {
                 if let Some((link, class)) = self.settle(request) {
                     out.counters.failed += 1;
                     out.answered(class, |c| &mut c.faulted);
-                    out.deeds.push(Deed::Fail(link, request));
+                    out.outputs.push(Deed::Fail(link, request));
                 }
             }
             Action::Move(request) => {
@@ -322,19 +322,19 @@
                 };
                 let (link, streamer) = (*link, *streamer);
                 out.counters.moved += 1;
-                out.deeds.push(Deed::MoveOff(link, request));
-                out.deeds.push(Deed::Drop(streamer, request));
+                out.outputs.push(Deed::MoveOff(link, request));
+                out.outputs.push(Deed::Drop(streamer, request));
                 self.over(request, streamer, Outcome::Canceled, LoadReport::default(), out);
             }
             Action::Probe(streamer) => {
                 out.counters.probes += 1;
-                out.deeds.push(Deed::Probe(streamer));
+                out.outputs.push(Deed::Probe(streamer));
             }
             Action::Timer { after_us, tag } => {
-                out.deeds.push(Deed::Wake(now.saturating_add(after_us), Due::Timer(tag)));
+                out.outputs.push(Deed::Wake(now.saturating_add(after_us), Due::Timer(tag)));
             }
             Action::Subscribe => {} // the bulletin is always listened to
-            Action::Log(words) => out.deeds.push(Deed::Log(words)),
+            Action::Log(words) => out.outputs.push(Deed::Log(words)),
         }
     }
 }
--- a/crates/core/src/director/ledger/streamers.rs
+++ b/crates/core/src/director/ledger/streamers.rs
@@ -48,9 +48,9 @@
         let until = now.saturating_add(try_for).min(session.deadline);
         let attempt = Attempt { session: id, number };
         let (rung, parcel) = (session.rung, Rc::clone(&session.parcel));
-        out.deeds.push(Deed::Wake(until, Due::Attempt(attempt)));
+        out.outputs.push(Deed::Wake(until, Due::Attempt(attempt)));
         let send_by = session.repeat_by;
-        out.deeds.push(Deed::SetUp(SetUp { streamer, attempt, rung, until, send_by, parcel }));
+        out.outputs.push(Deed::SetUp(SetUp { streamer, attempt, rung, until, send_by, parcel }));
     }
 
     pub(super) fn attempt_due(&mut self, attempt: Attempt, out: &mut Outbox) {
@@ -59,7 +59,7 @@
             Stage::Out { streamer, number, .. } if number == attempt.number => {
                 out.counters.timed_out += 1;
                 session.stage = Stage::GivingUp { streamer, number, outcome: Outcome::TimedOut };
-                out.deeds.push(Deed::GiveUp(streamer, attempt));
+                out.outputs.push(Deed::GiveUp(streamer, attempt));
             }
             _ => {}
         }
@@ -87,8 +87,8 @@
                 self.standing_at.entry(streamer).or_default().insert(id);
                 out.counters.served += 1;
                 out.answered(class, |c| &mut c.fulfilled);
-                out.deeds.push(Deed::Answer(link, id, description));
-                out.deeds.push(Deed::Attend(streamer));
+                out.outputs.push(Deed::Answer(link, id, description));
+                out.outputs.push(Deed::Attend(streamer));
                 let latency_us = now.saturating_sub(since);
                 out.events.push(Event::Started { request: id, streamer, latency_us });
                 self.end_released_early(id, streamer, out);
@@ -99,7 +99,7 @@
             (_, Some(Stage::Out { streamer: at, .. })) if at == streamer => out.counters.late_answers += 1,
             _ => {
                 out.counters.late_answers += 1;
-                out.deeds.push(Deed::Drop(streamer, id));
+                out.outputs.push(Deed::Drop(streamer, id));
             }
         }
     }
@@ -132,7 +132,7 @@
         let Some(session) = self.sessions.get(&id) else { return };
         let Stage::Standing { streamer, .. } = session.stage else { return };
         out.released_of(session.link, id, why);
-        out.deeds.push(Deed::Drop(streamer, id));
+        out.outputs.push(Deed::Drop(streamer, id));
         self.over(id, streamer, outcome, LoadReport::default(), out);
     }
 
@@ -211,8 +211,8 @@
                 out.counters.served += 1;
                 out.answered(*class, |c| &mut c.fulfilled);
                 out.counters.ended += 1;
-                out.deeds.push(Deed::Answer(*link, id, description));
-                out.deeds.push(Deed::Release(*link, id, Over::Ended));
+                out.outputs.push(Deed::Answer(*link, id, description));
+                out.outputs.push(Deed::Release(*link, id, Over::Ended));
                 self.over(id, from, Outcome::Ok, report, out);
             }
             _ => self.released(from, id, number, Over::Ended, report, out),
@@ -286,8 +286,8 @@
                 continue;
             }
             out.counters.cut += 1;
-            out.deeds.push(Deed::Release(session.link, id, Over::Cut));
-            out.deeds.push(Deed::Drop(streamer, id)); // should it come back with the session
+            out.outputs.push(Deed::Release(session.link, id, Over::Cut));
+            out.outputs.push(Deed::Drop(streamer, id)); // should it come back with the session
             self.over(id, streamer, Outcome::Reset, LoadReport::default(), out);
         }
     }
--- a/crates/core/src/director/ledger/viewers.rs
+++ b/crates/core/src/director/ledger/viewers.rs
@@ -18,7 +18,7 @@
             return self.unusable(link, id, out);
         }
         out.counters.taken += 1;
-        let request = Request { beside: self.on_link(link).0, ..request };
+        let request = Request { beside: self.counts_on_link(link).0, ..request };
         let deadline = now.saturating_add(request.left_us.saturating_sub(ANSWER_MARGIN_US));
         let rung = self.floors.get(request.class.0).copied().unwrap_or(0);
         let stage = Stage::Deciding;
@@ -30,7 +30,7 @@
         self.on(link, |l| {
             l.open.insert(id);
         });
-        out.deeds.push(Deed::Wake(deadline.saturating_add(ANSWER_GRACE_US), Due::Answer(id)));
+        out.outputs.push(Deed::Wake(deadline.saturating_add(ANSWER_GRACE_US), Due::Answer(id)));
         out.events.push(Event::Inbound(request));
     }
 
@@ -51,7 +51,7 @@
             }
             _ => {}
         }
-        out.deeds.push(Deed::Spurn(link, id));
+        out.outputs.push(Deed::Spurn(link, id));
     }
 
     pub(super) fn playing(
@@ -72,7 +72,7 @@
         }
         if self.fleet.get(&streamer).is_none_or(|s| *s == Standing::Gone) {
             out.counters.cut += 1;
-            out.deeds.push(Deed::Release(link, id, Over::Cut));
+            out.outputs.push(Deed::Release(link, id, Over::Cut));
             return;
         }
         let left = self.left.remove(&id);
@@ -91,7 +91,7 @@
             let (kind, value) = (NoteKind::Rung, rung as f64);
             out.events.push(Event::Note { request: id, streamer, kind, value });
         }
-        out.deeds.push(Deed::Attend(streamer));
+        out.outputs.push(Deed::Attend(streamer));
     }
 
     /// What ends a session may come on any connection, what gives a set-up up on its own alone.
@@ -102,7 +102,7 @@
         };
         if let Stage::Standing { streamer, .. } = session.stage {
             out.counters.viewer_ended += 1;
-            out.deeds.push(Deed::Drop(streamer, id));
+            out.outputs.push(Deed::Drop(streamer, id));
             return self.over(id, streamer, Outcome::Canceled, LoadReport::default(), out);
         }
         if session.owed {
@@ -116,7 +116,7 @@
     pub(super) fn undelivered(&mut self, id: RequestId, out: &mut Outbox) {
         let Some(Stage::Standing { streamer, .. }) = self.sessions.get(&id).map(|s| s.stage) else { return };
         out.counters.undelivered += 1;
-        out.deeds.push(Deed::Drop(streamer, id));
+        out.outputs.push(Deed::Drop(streamer, id));
         self.over(id, streamer, Outcome::Canceled, LoadReport::default(), out);
     }
 
@@ -127,7 +127,7 @@
         match session.stage {
             Stage::Out { streamer, number, .. } => {
                 session.stage = Stage::GivingUp { streamer, number, outcome: Outcome::Canceled };
-                out.deeds.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
+                out.outputs.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
             }
             Stage::Deciding => {
                 self.sessions.remove(&id);
@@ -141,7 +141,7 @@
         let Some(session) = self.sessions.get(&id).filter(|s| s.owed) else { return };
         out.counters.failed += 1;
         out.answered(session.class, |c| &mut c.faulted);
-        out.deeds.push(Deed::Fail(session.link, id));
+        out.outputs.push(Deed::Fail(session.link, id));
         self.discharge(id);
         self.abandon(id, out);
     }
--- a/crates/core/src/director/mod.rs
+++ b/crates/core/src/director/mod.rs
@@ -51,7 +51,7 @@
     /// One turn: books all that has come in, hands it to the module in one go, returns what is to be done.
     pub fn turn(&mut self, now: Micros, inputs: impl IntoIterator<Item = Input>) -> Vec<Deed> {
         for input in inputs {
-            self.ledger.hear(now, input, &mut self.outbox);
+            self.ledger.handle_input(now, input, &mut self.outbox);
         }
         // A second round only where an action found its request gone: the module is told that it was ignored.
         while !self.outbox.events.is_empty() {
@@ -60,58 +60,60 @@
                 self.controller.handle(now, event, &mut actions);
             }
             for action in actions {
-                self.ledger.act(now, action, &mut self.outbox);
+                self.ledger.apply_action(now, action, &mut self.outbox);
             }
         }
-        std::mem::take(&mut self.outbox.deeds)
+        std::mem::take(&mut self.outbox.outputs)
     }
 
     /// Ends everything at the director's own end; what stands is left standing where an heir takes it over.
     pub fn close(&mut self, bequeath: bool) -> Vec<Deed> {
         self.ledger.close(bequeath, &mut self.outbox);
         self.outbox.events.clear();
-        std::mem::take(&mut self.outbox.deeds)
+        std::mem::take(&mut self.outbox.outputs)
     }
 
     /// One turn after [`Director::close`]: requests are refused at once, and nothing is begun.
     pub fn turn_after_close(&mut self, inputs: Vec<Input>, bequeath: bool) -> Vec<Deed> {
-        inputs.into_iter().for_each(|input| self.ledger.hear_after_close(input, bequeath, &mut self.outbox));
-        std::mem::take(&mut self.outbox.deeds)
+        inputs
+            .into_iter()
+            .for_each(|input| self.ledger.handle_input_after_close(input, bequeath, &mut self.outbox));
+        std::mem::take(&mut self.outbox.outputs)
     }
 
     /// What is left to an heir: the sessions that stand, and their rungs.
     pub fn estate(&self) -> Vec<(RequestId, usize)> {
-        self.ledger.estate()
+        self.ledger.session_rungs()
     }
 
     /// Takes what the process before this one left, for when its sessions are handed over.
     pub fn inherit(&mut self, estate: Vec<(RequestId, usize)>) {
-        self.ledger.inherit(estate);
+        self.ledger.restore_rungs(estate);
     }
 
     /// Whether a session is on the books: a request that is open, or one that stands.
     pub fn holds(&self, session: RequestId) -> bool {
-        self.ledger.holds(session)
+        self.ledger.contains(session)
     }
 
     /// How many sessions stand at a streamer.
     pub fn standing_at(&self, streamer: StreamerId) -> usize {
-        self.ledger.standing_at(streamer)
+        self.ledger.established_at(streamer)
     }
 
     /// Requests that wait for their final answer on a connection, and sessions that stand from it.
     pub fn on_link(&self, link: ViewerLink) -> (usize, usize) {
-        self.ledger.on_link(link)
+        self.ledger.counts_on_link(link)
     }
 
     /// How many requests wait for their final answer.
     pub fn owed(&self) -> usize {
-        self.ledger.owed()
+        self.ledger.pending_requests()
     }
 
     /// Requests taken that have not come to their end: unanswered ones, and sessions that stand.
     pub fn open(&self) -> usize {
-        self.ledger.open()
+        self.ledger.open_requests()
     }
 
     /// Streamers in the list, and those of them that get no set-ups now but for trials.
