--- a/crates/core/src/director/ledger/closed.rs
+++ b/crates/core/src/director/ledger/closed.rs
@@ -1,27 +1,29 @@
 //! The ledger's end: all that is open is answered, what stands is released, and what still comes is refused.
 use super::super::messages::*;
-use super::{Ledger, Outbox, Session, Stage};
+use super::{Ledger, Outbox, Session, SessionState};
 use crate::interface::*;
 
 /// How long a client refused at the end is told to stay away: another director may serve it at once.
-const HOLD_OFF_US: Micros = 50_000;
+const SHUTDOWN_HOLD_OFF_US: Micros = 50_000;
 
 impl Ledger {
     /// Ends everything at the director's own end: requests are answered, and sessions are released on both
     /// sides but where an heir takes them over.
     pub(in crate::director) fn close(&mut self, keep_established: bool, out: &mut Outbox) {
         for (id, session) in std::mem::take(&mut self.sessions) {
-            answer(id, &session, out);
-            match session.stage {
-                Stage::Standing { .. } if keep_established => {}
-                Stage::Standing { streamer, .. } => release(session.link, id, streamer, out),
-                Stage::Out { streamer, number, .. } => {
+            answer_open_request(id, &session, out);
+            match session.state {
+                SessionState::Established { .. } if keep_established => {}
+                SessionState::Established { streamer, .. } => {
+                    release_on_both_sides(session.link, id, streamer, out)
+                }
+                SessionState::InFlight { streamer, number, .. } => {
                     out.outputs.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
                 }
-                Stage::Deciding | Stage::GivingUp { .. } => {}
+                SessionState::Placing | SessionState::Canceling { .. } => {}
             }
         }
-        self.standing_at.clear();
+        self.established_at.clear();
         self.links.clear();
     }
 
@@ -35,14 +37,14 @@
         match input {
             Input::Wanted { link, request, .. } => {
                 out.counters.taken += 1;
-                refuse(link, request.id, request.class, out);
+                refuse_request(link, request.id, request.class, out);
             }
             Input::Unusable(link, id) => {
                 out.counters.unusable += 1;
                 out.outputs.push(Deed::Spurn(link, id));
             }
             Input::Playing { link, request, streamer } if !keep_established => {
-                release(link, request.id, streamer, out);
+                release_on_both_sides(link, request.id, streamer, out);
             }
             Input::Stands { streamer, session, .. } => {
                 out.counters.late_answers += 1;
@@ -54,26 +56,26 @@
 }
 
 /// The final answer to a request that is open at the end: refused where no attempt was begun.
-fn answer(id: RequestId, session: &Session, out: &mut Outbox) {
-    if !session.owed {
+fn answer_open_request(id: RequestId, session: &Session, out: &mut Outbox) {
+    if !session.answer_pending {
         return;
     }
     if session.attempts == 0 {
-        return refuse(session.link, id, session.class, out);
+        return refuse_request(session.link, id, session.class, out);
     }
     out.counters.failed += 1;
-    out.answered(session.class, |c| &mut c.faulted);
+    out.count_answer(session.class, |c| &mut c.faulted);
     out.outputs.push(Deed::Fail(session.link, id));
 }
 
-fn refuse(link: ViewerLink, id: RequestId, class: ClassId, out: &mut Outbox) {
+fn refuse_request(link: ViewerLink, id: RequestId, class: ClassId, out: &mut Outbox) {
     out.counters.refused += 1;
-    out.answered(class, |c| &mut c.throttled);
-    out.outputs.push(Deed::Refuse(link, id, HOLD_OFF_US));
+    out.count_answer(class, |c| &mut c.throttled);
+    out.outputs.push(Deed::Refuse(link, id, SHUTDOWN_HOLD_OFF_US));
 }
 
 /// Releases a session on both sides.
-fn release(link: ViewerLink, id: RequestId, streamer: StreamerId, out: &mut Outbox) {
+fn release_on_both_sides(link: ViewerLink, id: RequestId, streamer: StreamerId, out: &mut Outbox) {
     out.counters.cut += 1;
     out.outputs.push(Deed::Release(link, id, Over::Cut));
     out.outputs.push(Deed::Drop(streamer, id));
--- a/crates/core/src/director/ledger/mod.rs
+++ b/crates/core/src/director/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The session ledger: for every session its stage, its attempts, and who is owed what. It keeps three
+//! The session ledger: for every session its state, its attempts, and who is owed what. It keeps three
 //! promises whatever comes in and in whatever order: a request gets one final answer, one attempt of it is
 //! out at a time, and nothing of an attempt that was given up reaches the viewer.
 mod closed;
@@ -21,15 +21,15 @@
 
 /// Where a session is on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum SessionState {
     /// The module has it; no attempt is out.
-    Deciding,
+    Placing,
     /// An attempt is out.
-    Out { streamer: StreamerId, number: u32, since: Micros },
+    InFlight { streamer: StreamerId, number: u32, since: Micros },
     /// An attempt is being given up and ends so.
-    GivingUp { streamer: StreamerId, number: u32, outcome: Outcome },
+    Canceling { streamer: StreamerId, number: u32, outcome: Outcome },
     /// It stands.
-    Standing { streamer: StreamerId, since: Micros },
+    Established { streamer: StreamerId, since: Micros },
 }
 
 #[derive(Debug)]
@@ -37,36 +37,36 @@
     link: ViewerLink,
     class: ClassId,
     parcel: Rc<Parcel>,
-    stage: Stage,
+    state: SessionState,
     rung: usize,
     attempts: u32,
     /// When the last attempt was sent.
-    sent_at: Micros,
+    last_sent_at: Micros,
     /// By when a further attempt must have left, once an earlier one may have run.
-    repeat_by: Micros,
+    resend_by: Micros,
     deadline: Micros,
     /// The final answer is still owed.
-    owed: bool,
+    answer_pending: bool,
 }
 
 impl Session {
     /// Its last attempt has ended; one that may have run binds those that follow.
-    fn ended(&mut self, outcome: Outcome, repeat_windows: &[Option<Micros>]) {
-        self.stage = Stage::Deciding;
+    fn end_attempt(&mut self, outcome: Outcome, repeat_windows: &[Option<Micros>]) {
+        self.state = SessionState::Placing;
         let window = repeat_windows.get(self.class.0).copied().flatten();
         if let Some(window) = window.filter(|_| !outcome.never_ran()) {
-            self.repeat_by = self.repeat_by.min(self.sent_at.saturating_add(window));
+            self.resend_by = self.resend_by.min(self.last_sent_at.saturating_add(window));
         }
     }
 }
 
 /// What is on a connection from viewers.
 #[derive(Default)]
-struct OnLink {
+struct LinkSessions {
     /// Requests that wait for their final answer.
-    open: BTreeSet<RequestId>,
+    pending: BTreeSet<RequestId>,
     /// Sessions that stand.
-    standing: usize,
+    established: usize,
 }
 
 /// What one step of the ledger leads to: events for the module and deeds outside.
@@ -79,19 +79,19 @@
 
 impl Outbox {
     /// Counts the end of a session that stood, and tells its viewer where it is owed that.
-    fn released_of(&mut self, link: ViewerLink, id: RequestId, why: Over) {
-        match why {
+    fn session_released(&mut self, link: ViewerLink, id: RequestId, reason: Over) {
+        match reason {
             Over::Ended => self.counters.ended += 1,
             Over::Cut => self.counters.cut += 1,
             Over::Left => return self.counters.viewer_ended += 1,
         }
-        self.outputs.push(Deed::Release(link, id, why));
+        self.outputs.push(Deed::Release(link, id, reason));
     }
 
     /// Counts a final answer to a request of a class.
-    fn answered(&mut self, class: ClassId, which: impl Fn(&mut Operations) -> &mut Count) {
+    fn count_answer(&mut self, class: ClassId, counter: impl Fn(&mut Operations) -> &mut Count) {
         if let Some(of_class) = self.counters.operations.get_mut(class.0) {
-            *which(of_class) += 1;
+            *counter(of_class) += 1;
         }
     }
 }
@@ -100,25 +100,31 @@
 #[derive(Default)]
 pub(in crate::director) struct Ledger {
     sessions: BTreeMap<RequestId, Session>,
-    standing_at: BTreeMap<StreamerId, BTreeSet<RequestId>>,
-    links: BTreeMap<ViewerLink, OnLink>,
-    fleet: BTreeMap<StreamerId, Standing>,
+    established_at: BTreeMap<StreamerId, BTreeSet<RequestId>>,
+    links: BTreeMap<ViewerLink, LinkSessions>,
+    streamers: BTreeMap<StreamerId, Standing>,
     /// Releases of sessions that are not held, oldest first: one that is being handed over may end at its
     /// streamer before its hand-over comes.
-    early: VecDeque<(RequestId, StreamerId, Over)>,
+    early_releases: VecDeque<(RequestId, StreamerId, Over)>,
     /// Rungs of sessions that are to be handed over, as the process before this one left them: no streamer
     /// says them again, and who takes a session for one at the lowest rung steps it down by wanting it up.
-    left: BTreeMap<RequestId, usize>,
-    floors: Vec<usize>,
+    inherited_rungs: BTreeMap<RequestId, usize>,
+    lowest_rungs: Vec<usize>,
     /// How long streamers recognise a repeat, for the classes of which they do.
     repeat_windows: Vec<Option<Micros>>,
     max_attempts: u32,
 }
 
 /// Releases kept for sessions that may still be handed over.
-const EARLY_MOST: usize = 1_024;
+const MAX_EARLY_RELEASES: usize = 1_024;
 
-fn ended(session: RequestId, number: u32, streamer: StreamerId, outcome: Outcome, last: bool) -> Event {
+fn attempt_ended(
+    session: RequestId,
+    number: u32,
+    streamer: StreamerId,
+    outcome: Outcome,
+    last: bool,
+) -> Event {
     let report = LoadReport::default();
     Event::Ended { request: session, attempt: number, streamer, outcome, last, report }
 }
@@ -130,7 +136,7 @@
 impl Ledger {
     pub(in crate::director) fn new(settings: &Settings) -> Self {
         Ledger {
-            floors: settings.classes.iter().map(|c| c.lowest_rung).collect(),
+            lowest_rungs: settings.classes.iter().map(|c| c.lowest_rung).collect(),
             repeat_windows: settings.classes.iter().map(repeat_window).collect(),
             max_attempts: settings.max_attempts,
             ..Ledger::default()
@@ -139,13 +145,14 @@
 
     /// The sessions that stand, and their rungs.
     pub(in crate::director) fn session_rungs(&self) -> Vec<(RequestId, usize)> {
-        let standing = self.sessions.iter().filter(|(_, s)| matches!(s.stage, Stage::Standing { .. }));
-        standing.map(|(id, s)| (*id, s.rung)).collect()
+        let established =
+            self.sessions.iter().filter(|(_, s)| matches!(s.state, SessionState::Established { .. }));
+        established.map(|(id, s)| (*id, s.rung)).collect()
     }
 
     /// Takes what the process before this one left, for when it is handed over.
     pub(in crate::director) fn restore_rungs(&mut self, rungs: Vec<(RequestId, usize)>) {
-        self.left.extend(rungs);
+        self.inherited_rungs.extend(rungs);
     }
 
     /// Whether a session is on the books.
@@ -155,73 +162,77 @@
 
     /// A session is another director's from here on. What stands is taken off the books as it is; a viewer
     /// that still waits is told that its set-up failed, and the attempt is given up, as at an end.
-    fn lay_down(&mut self, id: RequestId, out: &mut Outbox) {
-        match self.sessions.get(&id).map(|s| s.stage) {
-            Some(Stage::Standing { streamer, .. }) => {
-                self.over(id, streamer, Outcome::Canceled, LoadReport::default(), out);
+    fn relinquish_session(&mut self, id: RequestId, out: &mut Outbox) {
+        match self.sessions.get(&id).map(|s| s.state) {
+            Some(SessionState::Established { streamer, .. }) => {
+                self.remove_session(id, streamer, Outcome::Canceled, LoadReport::default(), out);
             }
-            Some(_) => self.answer_due(id, out),
+            Some(_) => self.fail_unanswered(id, out),
             None => {}
         }
     }
 
     /// How many sessions stand at a streamer.
     pub(in crate::director) fn established_at(&self, streamer: StreamerId) -> usize {
-        self.standing_at.get(&streamer).map_or(0, BTreeSet::len)
+        self.established_at.get(&streamer).map_or(0, BTreeSet::len)
     }
 
     /// How many requests still wait for their final answer.
     pub(in crate::director) fn pending_requests(&self) -> usize {
-        self.links.values().map(|l| l.open.len()).sum()
+        self.links.values().map(|l| l.pending.len()).sum()
     }
 
     /// How many requests wait for their final answer, or have a session that stands.
     pub(in crate::director) fn open_requests(&self) -> usize {
-        self.links.values().map(|l| l.open.len() + l.standing).sum()
+        self.links.values().map(|l| l.pending.len() + l.established).sum()
     }
 
     /// Requests that wait for their final answer on a connection, and sessions that stand from it.
     pub(in crate::director) fn counts_on_link(&self, link: ViewerLink) -> (usize, usize) {
-        self.links.get(&link).map_or((0, 0), |l| (l.open.len(), l.standing))
+        self.links.get(&link).map_or((0, 0), |l| (l.pending.len(), l.established))
     }
 
     /// The final answer of a request is no longer owed.
-    fn discharge(&mut self, id: RequestId) {
-        let Some(session) = self.sessions.get_mut(&id).filter(|s| s.owed) else { return };
-        session.owed = false;
+    fn clear_pending_answer(&mut self, id: RequestId) {
+        let Some(session) = self.sessions.get_mut(&id).filter(|s| s.answer_pending) else { return };
+        session.answer_pending = false;
         let link = session.link;
-        self.on(link, |l| {
-            l.open.remove(&id);
+        self.update_link(link, |l| {
+            l.pending.remove(&id);
         });
     }
 
     /// Books a change on a connection, and keeps nothing of one that has nothing on it.
-    fn on(&mut self, link: ViewerLink, change: impl FnOnce(&mut OnLink)) {
-        let on = self.links.entry(link).or_default();
-        change(on);
-        if on.open.is_empty() && on.standing == 0 {
+    fn update_link(&mut self, link: ViewerLink, change: impl FnOnce(&mut LinkSessions)) {
+        let on_link = self.links.entry(link).or_default();
+        change(on_link);
+        if on_link.pending.is_empty() && on_link.established == 0 {
             self.links.remove(&link);
         }
     }
 
     pub(in crate::director) fn handle_input(&mut self, now: Micros, input: Input, out: &mut Outbox) {
         match input {
-            Input::List { scope, entries } => self.list(scope, entries, out),
-            Input::Wanted { link, request, parcel } => self.wanted(now, link, request, parcel, out),
-            Input::Playing { link, request, streamer } => self.playing(now, link, request, streamer, out),
-            Input::Unusable(link, id) => self.unusable(link, id, out),
-            Input::ViewerLeft(link, id) => self.viewer_left(link, id, out),
+            Input::List { scope, entries } => self.update_streamer_list(scope, entries, out),
+            Input::Wanted { link, request, parcel } => {
+                self.handle_session_request(now, link, request, parcel, out)
+            }
+            Input::Playing { link, request, streamer } => {
+                self.handle_handover(now, link, request, streamer, out)
+            }
+            Input::Unusable(link, id) => self.reject_set_up(link, id, out),
+            Input::ViewerLeft(link, id) => self.handle_viewer_left(link, id, out),
             Input::LinkLost(link) => {
-                let open = self.links.get(&link).map(|l| l.open.clone()).unwrap_or_default();
-                open.into_iter().for_each(|id| self.viewer_left(link, id, out));
+                let pending = self.links.get(&link).map(|l| l.pending.clone()).unwrap_or_default();
+                pending.into_iter().for_each(|id| self.handle_viewer_left(link, id, out));
             }
-            Input::Undelivered(id) => self.undelivered(id, out),
+            Input::Undelivered(id) => self.handle_undelivered_answer(id, out),
             Input::Unread(id) => {
                 out.counters.undelivered += u64::from(self.contains(id));
                 self.end_on_both_sides(id, Over::Cut, Outcome::Canceled, out);
             }
             Input::Stands { streamer, session, number, description } => {
-                self.stands(now, streamer, session, number, description, out);
+                self.handle_established(now, streamer, session, number, description, out);
             }
             Input::TurnedAway { streamer, session, number, outcome, report } => {
                 match outcome {
@@ -229,7 +240,7 @@
                     Outcome::Failed => out.counters.errors += 1,
                     _ => out.counters.broken += 1,
                 }
-                self.attempt_over(session, number, streamer, outcome, report, out);
+                self.end_attempt_by_streamer(session, number, streamer, outcome, report, out);
             }
             Input::Unsent(attempt, why) => {
                 let outcome = match why {
@@ -238,31 +249,31 @@
                 };
                 out.counters.no_connection += u64::from(why == Unsent::NoConnection);
                 out.counters.withdrawn += u64::from(why == Unsent::Withdrawn);
-                self.own_attempt_over(attempt, Some(outcome), out);
+                self.end_attempt_locally(attempt, Some(outcome), out);
             }
-            Input::GaveUp(attempt) => self.own_attempt_over(attempt, None, out),
+            Input::GaveUp(attempt) => self.end_attempt_locally(attempt, None, out),
             Input::Broken(attempt) => {
                 out.counters.broken += 1;
-                self.own_attempt_over(attempt, Some(Outcome::Reset), out);
+                self.end_attempt_locally(attempt, Some(Outcome::Reset), out);
             }
             Input::Spoilt(attempt) => {
                 out.counters.spoilt += 1;
-                self.own_attempt_over(attempt, Some(Outcome::Garbled), out);
+                self.end_attempt_locally(attempt, Some(Outcome::Garbled), out);
             }
             Input::Released { streamer, session, number, why, description, report } => {
                 if why == Over::Ended && !description.is_empty() {
-                    self.began_and_ended(session, number, streamer, description, report, out);
+                    self.handle_immediate_end(session, number, streamer, description, report, out);
                 } else {
-                    self.released(streamer, session, number, why, report, out);
+                    self.handle_release(streamer, session, number, why, report, out);
                 }
             }
             Input::Contact { streamer, up } => out.events.push(Event::Contact { streamer, up }),
             Input::DropHeard(_) => {}
-            Input::LaidDown(ids) => ids.into_iter().for_each(|id| self.lay_down(id, out)),
-            Input::Lost(streamer) => self.lost(streamer, Micros::MAX, out),
+            Input::LaidDown(ids) => ids.into_iter().for_each(|id| self.relinquish_session(id, out)),
+            Input::Lost(streamer) => self.end_lost_sessions(streamer, Micros::MAX, out),
             Input::Noted { streamer, session, kind, value } => {
-                let stage = self.sessions.get(&session).map(|s| s.stage);
-                if matches!(stage, Some(Stage::Standing { streamer: at, .. }) if at == streamer) {
+                let state = self.sessions.get(&session).map(|s| s.state);
+                if matches!(state, Some(SessionState::Established { streamer: at, .. }) if at == streamer) {
                     out.counters.notes += 1;
                     if kind == NoteKind::Rung {
                         self.sessions.entry(session).and_modify(|s| s.rung = value.clamp(0.0, 64.0) as usize);
@@ -277,11 +288,11 @@
                 out.events.push(Event::Probed { streamer, outcome, report });
             }
             Input::Due(Due::Timer(tag)) => out.events.push(Event::Timer(tag)),
-            Input::Due(Due::Attempt(attempt)) => self.attempt_due(attempt, out),
-            Input::Due(Due::Answer(id)) => self.answer_due(id, out),
+            Input::Due(Due::Attempt(attempt)) => self.handle_attempt_timeout(attempt, out),
+            Input::Due(Due::Answer(id)) => self.fail_unanswered(id, out),
             Input::Hurry => {
-                let open: Vec<_> = self.links.values().flat_map(|l| l.open.iter().copied()).collect();
-                open.into_iter().for_each(|id| self.answer_due(id, out));
+                let pending: Vec<_> = self.links.values().flat_map(|l| l.pending.iter().copied()).collect();
+                pending.into_iter().for_each(|id| self.fail_unanswered(id, out));
             }
         }
     }
@@ -290,32 +301,32 @@
     pub(in crate::director) fn apply_action(&mut self, now: Micros, action: Action, out: &mut Outbox) {
         match action {
             Action::Send { request, streamer, try_for_us } => {
-                self.send(now, request, streamer, try_for_us, out)
+                self.send_attempt(now, request, streamer, try_for_us, out)
             }
             Action::Rate { request, rung } => {
                 let Some(session) = self.sessions.get_mut(&request) else { return };
                 session.rung = rung;
-                if let Stage::Standing { streamer, .. } = session.stage {
+                if let SessionState::Established { streamer, .. } = session.state {
                     out.counters.rung_changes += 1;
                     out.outputs.push(Deed::Rung(streamer, request, rung));
                 }
             }
             Action::Refuse { request, hold_off_us } => {
-                if let Some((link, class)) = self.settle(request) {
+                if let Some((link, class)) = self.remove_unanswered(request) {
                     out.counters.refused += 1;
-                    out.answered(class, |c| &mut c.throttled);
+                    out.count_answer(class, |c| &mut c.throttled);
                     out.outputs.push(Deed::Refuse(link, request, hold_off_us));
                 }
             }
             Action::EndFailed(request) => {
-                if let Some((link, class)) = self.settle(request) {
+                if let Some((link, class)) = self.remove_unanswered(request) {
                     out.counters.failed += 1;
-                    out.answered(class, |c| &mut c.faulted);
+                    out.count_answer(class, |c| &mut c.faulted);
                     out.outputs.push(Deed::Fail(link, request));
                 }
             }
             Action::Move(request) => {
-                let Some(Session { link, stage: Stage::Standing { streamer, .. }, .. }) =
+                let Some(Session { link, state: SessionState::Established { streamer, .. }, .. }) =
                     self.sessions.get(&request)
                 else {
                     return;
@@ -324,7 +335,7 @@
                 out.counters.moved += 1;
                 out.outputs.push(Deed::MoveOff(link, request));
                 out.outputs.push(Deed::Drop(streamer, request));
-                self.over(request, streamer, Outcome::Canceled, LoadReport::default(), out);
+                self.remove_session(request, streamer, Outcome::Canceled, LoadReport::default(), out);
             }
             Action::Probe(streamer) => {
                 out.counters.probes += 1;
@@ -334,7 +345,7 @@
                 out.outputs.push(Deed::Wake(now.saturating_add(after_us), Due::Timer(tag)));
             }
             Action::Subscribe => {} // the bulletin is always listened to
-            Action::Log(words) => out.outputs.push(Deed::Log(words)),
+            Action::Log(line) => out.outputs.push(Deed::Log(line)),
         }
     }
 }
--- a/crates/core/src/director/ledger/viewers.rs
+++ b/crates/core/src/director/ledger/viewers.rs
@@ -1,11 +1,11 @@
 //! The ledger's steps towards viewers: requests and hand-overs that come, viewers that leave, final answers.
 use super::super::messages::*;
-use super::{ANSWER_GRACE_US, ANSWER_MARGIN_US, Ledger, Outbox, Session, Stage};
+use super::{ANSWER_GRACE_US, ANSWER_MARGIN_US, Ledger, Outbox, Session, SessionState};
 use crate::interface::*;
 use std::rc::Rc;
 
 impl Ledger {
-    pub(super) fn wanted(
+    pub(super) fn handle_session_request(
         &mut self,
         now: Micros,
         link: ViewerLink,
@@ -15,20 +15,30 @@
     ) {
         let id = request.id;
         if self.sessions.contains_key(&id) {
-            return self.unusable(link, id, out);
+            return self.reject_set_up(link, id, out);
         }
         out.counters.taken += 1;
         let request = Request { beside: self.counts_on_link(link).0, ..request };
         let deadline = now.saturating_add(request.left_us.saturating_sub(ANSWER_MARGIN_US));
-        let rung = self.floors.get(request.class.0).copied().unwrap_or(0);
-        let stage = Stage::Deciding;
+        let rung = self.lowest_rungs.get(request.class.0).copied().unwrap_or(0);
+        let state = SessionState::Placing;
         let class = request.class;
-        let (attempts, sent_at, repeat_by, owed) = (0, 0, Micros::MAX, true);
-        let session =
-            Session { link, class, parcel, stage, rung, attempts, sent_at, repeat_by, deadline, owed };
+        let (attempts, last_sent_at, resend_by, answer_pending) = (0, 0, Micros::MAX, true);
+        let session = Session {
+            link,
+            class,
+            parcel,
+            state,
+            rung,
+            attempts,
+            last_sent_at,
+            resend_by,
+            deadline,
+            answer_pending,
+        };
         self.sessions.insert(id, session);
-        self.on(link, |l| {
-            l.open.insert(id);
+        self.update_link(link, |l| {
+            l.pending.insert(id);
         });
         out.outputs.push(Deed::Wake(deadline.saturating_add(ANSWER_GRACE_US), Due::Answer(id)));
         out.events.push(Event::Inbound(request));
@@ -37,24 +47,24 @@
     /// A set-up that can't be used, as one under a number that is taken. Where that number is open on the
     /// same connection the viewer can't tell whose answer it gets: both have failed. A session that came on
     /// another connection is not touched.
-    pub(super) fn unusable(&mut self, link: ViewerLink, id: RequestId, out: &mut Outbox) {
+    pub(super) fn reject_set_up(&mut self, link: ViewerLink, id: RequestId, out: &mut Outbox) {
         out.counters.unusable += 1;
         match self.sessions.get(&id) {
-            Some(s) if s.link == link && matches!(s.stage, Stage::Standing { .. }) => {
+            Some(s) if s.link == link && matches!(s.state, SessionState::Established { .. }) => {
                 out.counters.strays += 1; // answered already; one more would end what stands
                 return;
             }
-            Some(s) if s.link == link && s.owed => {
-                out.answered(s.class, |c| &mut c.faulted);
-                self.discharge(id);
-                self.abandon(id, out);
+            Some(s) if s.link == link && s.answer_pending => {
+                out.count_answer(s.class, |c| &mut c.faulted);
+                self.clear_pending_answer(id);
+                self.cancel_request(id, out);
             }
             _ => {}
         }
         out.outputs.push(Deed::Spurn(link, id));
     }
 
-    pub(super) fn playing(
+    pub(super) fn handle_handover(
         &mut self,
         now: Micros,
         link: ViewerLink,
@@ -67,27 +77,37 @@
             return; // it may name what is held already
         }
         out.counters.handed_over += 1;
-        if let Some(why) = self.released_early(id, streamer) {
-            return out.released_of(link, id, why);
+        if let Some(reason) = self.take_early_release(id, streamer) {
+            return out.session_released(link, id, reason);
         }
-        if self.fleet.get(&streamer).is_none_or(|s| *s == Standing::Gone) {
+        if self.streamers.get(&streamer).is_none_or(|s| *s == Standing::Gone) {
             out.counters.cut += 1;
             out.outputs.push(Deed::Release(link, id, Over::Cut));
             return;
         }
-        let left = self.left.remove(&id);
-        let rung = left.or_else(|| self.floors.get(request.class.0).copied()).unwrap_or(0);
-        let stage = Stage::Standing { streamer, since: now };
+        let inherited_rung = self.inherited_rungs.remove(&id);
+        let rung = inherited_rung.or_else(|| self.lowest_rungs.get(request.class.0).copied()).unwrap_or(0);
+        let state = SessionState::Established { streamer, since: now };
         let parcel = Rc::default();
         let class = request.class;
-        let (attempts, sent_at, repeat_by, deadline, owed) = (0, 0, Micros::MAX, 0, false);
-        let session =
-            Session { link, class, parcel, stage, rung, attempts, sent_at, repeat_by, deadline, owed };
+        let (attempts, last_sent_at, resend_by, deadline, answer_pending) = (0, 0, Micros::MAX, 0, false);
+        let session = Session {
+            link,
+            class,
+            parcel,
+            state,
+            rung,
+            attempts,
+            last_sent_at,
+            resend_by,
+            deadline,
+            answer_pending,
+        };
         self.sessions.insert(id, session);
-        self.standing_at.entry(streamer).or_default().insert(id);
-        self.on(link, |l| l.standing += 1);
+        self.established_at.entry(streamer).or_default().insert(id);
+        self.update_link(link, |l| l.established += 1);
         out.events.push(Event::Preexisting(request, streamer));
-        if left.is_some() {
+        if inherited_rung.is_some() {
             let (kind, value) = (NoteKind::Rung, rung as f64);
             out.events.push(Event::Note { request: id, streamer, kind, value });
         }
@@ -95,62 +115,65 @@
     }
 
     /// What ends a session may come on any connection, what gives a set-up up on its own alone.
-    pub(super) fn viewer_left(&mut self, link: ViewerLink, id: RequestId, out: &mut Outbox) {
-        let Some(session) = self.sessions.get(&id).filter(|s| !s.owed || s.link == link) else {
+    pub(super) fn handle_viewer_left(&mut self, link: ViewerLink, id: RequestId, out: &mut Outbox) {
+        let Some(session) = self.sessions.get(&id).filter(|s| !s.answer_pending || s.link == link) else {
             out.counters.strays += 1;
             return;
         };
-        if let Stage::Standing { streamer, .. } = session.stage {
+        if let SessionState::Established { streamer, .. } = session.state {
             out.counters.viewer_ended += 1;
             out.outputs.push(Deed::Drop(streamer, id));
-            return self.over(id, streamer, Outcome::Canceled, LoadReport::default(), out);
+            return self.remove_session(id, streamer, Outcome::Canceled, LoadReport::default(), out);
         }
-        if session.owed {
+        if session.answer_pending {
             out.counters.left_early += 1;
-            self.discharge(id);
-            self.abandon(id, out);
+            self.clear_pending_answer(id);
+            self.cancel_request(id, out);
         }
     }
 
     /// The viewer will never hear that its session stands, and so will not end it: it is ended from here.
-    pub(super) fn undelivered(&mut self, id: RequestId, out: &mut Outbox) {
-        let Some(Stage::Standing { streamer, .. }) = self.sessions.get(&id).map(|s| s.stage) else { return };
+    pub(super) fn handle_undelivered_answer(&mut self, id: RequestId, out: &mut Outbox) {
+        let Some(SessionState::Established { streamer, .. }) = self.sessions.get(&id).map(|s| s.state) else {
+            return;
+        };
         out.counters.undelivered += 1;
         out.outputs.push(Deed::Drop(streamer, id));
-        self.over(id, streamer, Outcome::Canceled, LoadReport::default(), out);
+        self.remove_session(id, streamer, Outcome::Canceled, LoadReport::default(), out);
     }
 
     /// Nothing is owed for this request any more: an attempt that is out is given up.
-    pub(super) fn abandon(&mut self, id: RequestId, out: &mut Outbox) {
+    pub(super) fn cancel_request(&mut self, id: RequestId, out: &mut Outbox) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         out.events.push(Event::ClientGone(id));
-        match session.stage {
-            Stage::Out { streamer, number, .. } => {
-                session.stage = Stage::GivingUp { streamer, number, outcome: Outcome::Canceled };
+        match session.state {
+            SessionState::InFlight { streamer, number, .. } => {
+                session.state = SessionState::Canceling { streamer, number, outcome: Outcome::Canceled };
                 out.outputs.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
             }
-            Stage::Deciding => {
+            SessionState::Placing => {
                 self.sessions.remove(&id);
             }
-            Stage::GivingUp { .. } | Stage::Standing { .. } => {}
+            SessionState::Canceling { .. } | SessionState::Established { .. } => {}
         }
     }
 
     /// The viewer's time is up and the module has not answered: a give-up still waits to be written.
-    pub(super) fn answer_due(&mut self, id: RequestId, out: &mut Outbox) {
-        let Some(session) = self.sessions.get(&id).filter(|s| s.owed) else { return };
+    pub(super) fn fail_unanswered(&mut self, id: RequestId, out: &mut Outbox) {
+        let Some(session) = self.sessions.get(&id).filter(|s| s.answer_pending) else { return };
         out.counters.failed += 1;
-        out.answered(session.class, |c| &mut c.faulted);
+        out.count_answer(session.class, |c| &mut c.faulted);
         out.outputs.push(Deed::Fail(session.link, id));
-        self.discharge(id);
-        self.abandon(id, out);
+        self.clear_pending_answer(id);
+        self.cancel_request(id, out);
     }
 
     /// Takes a request off the books for its final answer; `None` where none is owed.
-    pub(super) fn settle(&mut self, id: RequestId) -> Option<(ViewerLink, ClassId)> {
-        let session = self.sessions.get(&id).filter(|s| s.owed && s.stage == Stage::Deciding)?;
+    pub(super) fn remove_unanswered(&mut self, id: RequestId) -> Option<(ViewerLink, ClassId)> {
+        let session =
+            self.sessions.get(&id).filter(|s| s.answer_pending && s.state == SessionState::Placing)?;
         let (link, class) = (session.link, session.class);
-        self.discharge(id);
+        self.clear_pending_answer(id);
         self.sessions.remove(&id);
         Some((link, class))
     }
