--- a/crates/core/src/director/ledger/closed.rs
+++ b/crates/core/src/director/ledger/closed.rs
@@ -1,14 +1,15 @@
-//! The ledger's end: all that is open is answered, what stands is released, and what still comes is refused.
+//! Shutdown of the ledger: answers pending requests, releases established sessions, and refuses requests
+//! that arrive later.
 use super::super::messages::*;
 use super::{Ledger, Outbox, Session, SessionState};
 use crate::interface::*;
 
-/// How long a client refused at the end is told to stay away: another director may serve it at once.
+/// Hold-off for clients refused during shutdown. It is short, since another director may serve them at once.
 const SHUTDOWN_HOLD_OFF_US: Micros = 50_000;
 
 impl Ledger {
-    /// Ends everything at the director's own end: requests are answered, and sessions are released on both
-    /// sides but where an heir takes them over.
+    /// Shuts the ledger down: answers all requests, and releases established sessions at viewer and streamer
+    /// unless `keep_established` is set because a successor takes them over.
     pub(in crate::director) fn close(&mut self, keep_established: bool, out: &mut Outbox) {
         for (id, session) in std::mem::take(&mut self.sessions) {
             answer_open_request(id, &session, out);
@@ -27,7 +28,7 @@
         self.links.clear();
     }
 
-    /// Answers what comes after the end.
+    /// Handles an input that arrives after [`Ledger::close`].
     pub(in crate::director) fn handle_input_after_close(
         &self,
         input: Input,
@@ -55,7 +56,8 @@
     }
 }
 
-/// The final answer to a request that is open at the end: refused where no attempt was begun.
+/// Sends the final answer to a request that is pending at shutdown: refused if no attempt was made, failed
+/// otherwise.
 fn answer_open_request(id: RequestId, session: &Session, out: &mut Outbox) {
     if !session.answer_pending {
         return;
@@ -68,13 +70,14 @@
     out.outputs.push(Deed::Fail(session.link, id));
 }
 
+/// Refuses a request with the hold-off for shutdown.
 fn refuse_request(link: ViewerLink, id: RequestId, class: ClassId, out: &mut Outbox) {
     out.counters.refused += 1;
     out.count_answer(class, |c| &mut c.throttled);
     out.outputs.push(Deed::Refuse(link, id, SHUTDOWN_HOLD_OFF_US));
 }
 
-/// Releases a session on both sides.
+/// Releases a session at its viewer and at its streamer.
 fn release_on_both_sides(link: ViewerLink, id: RequestId, streamer: StreamerId, out: &mut Outbox) {
     out.counters.cut += 1;
     out.outputs.push(Deed::Release(link, id, Over::Cut));
--- a/crates/core/src/director/ledger/mod.rs
+++ b/crates/core/src/director/ledger/mod.rs
@@ -1,6 +1,7 @@
-//! The session ledger: for every session its state, its attempts, and who is owed what. It keeps three
-//! promises whatever comes in and in whatever order: a request gets one final answer, one attempt of it is
-//! out at a time, and nothing of an attempt that was given up reaches the viewer.
+//! The session ledger: tracks the state, the attempts and the pending answer of every session.
+//!
+//! It upholds three invariants for any inputs in any order: a request gets exactly one final answer, at most
+//! one of its attempts is in flight at a time, and nothing from a canceled attempt reaches the viewer.
 mod closed;
 mod streamers;
 mod viewers;
@@ -12,23 +13,24 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Part of the viewer's time that is kept back from attempts, so that an answer at its end is still in time.
-/// The module is told the whole time: it has bounds of its own, which less time must not trip.
+/// Part of the viewer's time limit that attempts may not use, so that an answer sent when the last attempt
+/// times out still arrives in time. The controller is told the full time limit: it compares it with bounds
+/// of its own, and a shortened limit could fall below them.
 const ANSWER_MARGIN_US: Micros = 25_000;
-/// How long after the viewer's time the ledger still leaves the final answer to the module, whose last
-/// attempt ends just then.
+/// How long past the deadline the ledger waits for the controller's final answer before it fails the request
+/// itself. The last attempt ends at the deadline, and the controller decides only after that.
 const ANSWER_GRACE_US: Micros = 5_000;
 
-/// Where a session is on its way.
+/// The state of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionState {
-    /// The module has it; no attempt is out.
+    /// The controller decides where to place the session; no attempt is in flight.
     Placing,
-    /// An attempt is out.
+    /// An attempt has been handed to the transport, and its result is awaited.
     InFlight { streamer: StreamerId, number: u32, since: Micros },
-    /// An attempt is being given up and ends so.
+    /// The attempt is being canceled; it ends with `outcome` once the cancellation has been written.
     Canceling { streamer: StreamerId, number: u32, outcome: Outcome },
-    /// It stands.
+    /// The session is established at a streamer.
     Established { streamer: StreamerId, since: Micros },
 }
 
@@ -40,17 +42,19 @@
     state: SessionState,
     rung: usize,
     attempts: u32,
-    /// When the last attempt was sent.
+    /// When the most recent attempt was sent.
     last_sent_at: Micros,
-    /// By when a further attempt must have left, once an earlier one may have run.
+    /// Latest time to send a further attempt, once an earlier one may have run: after that, streamers may no
+    /// longer recognise the repeat.
     resend_by: Micros,
     deadline: Micros,
-    /// The final answer is still owed.
+    /// Whether the viewer still waits for the final answer.
     answer_pending: bool,
 }
 
 impl Session {
-    /// Its last attempt has ended; one that may have run binds those that follow.
+    /// Records the end of the current attempt. If the attempt may have run, later attempts have to be sent
+    /// within the class's repeat window.
     fn end_attempt(&mut self, outcome: Outcome, repeat_windows: &[Option<Micros>]) {
         self.state = SessionState::Placing;
         let window = repeat_windows.get(self.class.0).copied().flatten();
@@ -60,16 +64,16 @@
     }
 }
 
-/// What is on a connection from viewers.
+/// The requests and sessions of one viewer connection.
 #[derive(Default)]
 struct LinkSessions {
-    /// Requests that wait for their final answer.
+    /// Requests without a final answer.
     pending: BTreeSet<RequestId>,
-    /// Sessions that stand.
+    /// Number of established sessions.
     established: usize,
 }
 
-/// What one step of the ledger leads to: events for the module and deeds outside.
+/// Collects the results of ledger steps: events for the controller and outputs for the transport.
 #[derive(Default)]
 pub(in crate::director) struct Outbox {
     pub(in crate::director) events: Vec<Event>,
@@ -78,7 +82,7 @@
 }
 
 impl Outbox {
-    /// Counts the end of a session that stood, and tells its viewer where it is owed that.
+    /// Counts the end of an established session, and notifies its viewer unless [`Over::Left`] is the reason.
     fn session_released(&mut self, link: ViewerLink, id: RequestId, reason: Over) {
         match reason {
             Over::Ended => self.counters.ended += 1,
@@ -88,7 +92,7 @@
         self.outputs.push(Deed::Release(link, id, reason));
     }
 
-    /// Counts a final answer to a request of a class.
+    /// Increments one of the final-answer counters of a class.
     fn count_answer(&mut self, class: ClassId, counter: impl Fn(&mut Operations) -> &mut Count) {
         if let Some(of_class) = self.counters.operations.get_mut(class.0) {
             *counter(of_class) += 1;
@@ -103,21 +107,23 @@
     established_at: BTreeMap<StreamerId, BTreeSet<RequestId>>,
     links: BTreeMap<ViewerLink, LinkSessions>,
     streamers: BTreeMap<StreamerId, Standing>,
-    /// Releases of sessions that are not held, oldest first: one that is being handed over may end at its
-    /// streamer before its hand-over comes.
+    /// Releases of sessions that are not known to be established, oldest first. A session that is being
+    /// handed over may end at its streamer before the handover arrives.
     early_releases: VecDeque<(RequestId, StreamerId, Over)>,
-    /// Rungs of sessions that are to be handed over, as the process before this one left them: no streamer
-    /// says them again, and who takes a session for one at the lowest rung steps it down by wanting it up.
+    /// Rungs of sessions that are still to be handed over, as recorded by the previous process. Streamers do
+    /// not report rungs again, and if a session were assumed to be at the lowest rung, an attempt to raise it
+    /// would in fact step it down.
     inherited_rungs: BTreeMap<RequestId, usize>,
     lowest_rungs: Vec<usize>,
-    /// How long streamers recognise a repeat, for the classes of which they do.
+    /// For each class, how long streamers recognise a repeated set-up; `None` if they do not.
     repeat_windows: Vec<Option<Micros>>,
     max_attempts: u32,
 }
 
-/// Releases kept for sessions that may still be handed over.
+/// Most releases kept for sessions that are not yet known to be established.
 const MAX_EARLY_RELEASES: usize = 1_024;
 
+/// The event for the end of an attempt that came without a load report.
 fn attempt_ended(
     session: RequestId,
     number: u32,
@@ -129,6 +135,7 @@
     Event::Ended { request: session, attempt: number, streamer, outcome, last, report }
 }
 
+/// How long streamers recognise a repeated set-up of this class; `None` if they do not.
 fn repeat_window(class: &Class) -> Option<Micros> {
     (class.effect == Effect::Deduplicated).then_some(class.repeat_window_us)
 }
@@ -143,25 +150,26 @@
         }
     }
 
-    /// The sessions that stand, and their rungs.
+    /// The established sessions with their rungs.
     pub(in crate::director) fn session_rungs(&self) -> Vec<(RequestId, usize)> {
         let established =
             self.sessions.iter().filter(|(_, s)| matches!(s.state, SessionState::Established { .. }));
         established.map(|(id, s)| (*id, s.rung)).collect()
     }
 
-    /// Takes what the process before this one left, for when it is handed over.
+    /// Loads the rungs that the previous process recorded; each applies once its session is handed over.
     pub(in crate::director) fn restore_rungs(&mut self, rungs: Vec<(RequestId, usize)>) {
         self.inherited_rungs.extend(rungs);
     }
 
-    /// Whether a session is on the books.
+    /// Whether the ledger holds this session, pending or established.
     pub(in crate::director) fn contains(&self, id: RequestId) -> bool {
         self.sessions.contains_key(&id)
     }
 
-    /// A session is another director's from here on. What stands is taken off the books as it is; a viewer
-    /// that still waits is told that its set-up failed, and the attempt is given up, as at an end.
+    /// Gives up a session that belongs to another director from now on. An established session is removed
+    /// without touching it; a viewer that still waits is told that its set-up failed, and the attempt is
+    /// canceled, as when its time is up.
     fn relinquish_session(&mut self, id: RequestId, out: &mut Outbox) {
         match self.sessions.get(&id).map(|s| s.state) {
             Some(SessionState::Established { streamer, .. }) => {
@@ -172,27 +180,27 @@
         }
     }
 
-    /// How many sessions stand at a streamer.
+    /// Number of sessions established at a streamer.
     pub(in crate::director) fn established_at(&self, streamer: StreamerId) -> usize {
         self.established_at.get(&streamer).map_or(0, BTreeSet::len)
     }
 
-    /// How many requests still wait for their final answer.
+    /// Number of requests without a final answer.
     pub(in crate::director) fn pending_requests(&self) -> usize {
         self.links.values().map(|l| l.pending.len()).sum()
     }
 
-    /// How many requests wait for their final answer, or have a session that stands.
+    /// Number of requests that have no final answer or have an established session.
     pub(in crate::director) fn open_requests(&self) -> usize {
         self.links.values().map(|l| l.pending.len() + l.established).sum()
     }
 
-    /// Requests that wait for their final answer on a connection, and sessions that stand from it.
+    /// Number of unanswered requests on a viewer connection, and of established sessions that came on it.
     pub(in crate::director) fn counts_on_link(&self, link: ViewerLink) -> (usize, usize) {
         self.links.get(&link).map_or((0, 0), |l| (l.pending.len(), l.established))
     }
 
-    /// The final answer of a request is no longer owed.
+    /// Marks a request as answered or abandoned: no final answer is pending for it any more.
     fn clear_pending_answer(&mut self, id: RequestId) {
         let Some(session) = self.sessions.get_mut(&id).filter(|s| s.answer_pending) else { return };
         session.answer_pending = false;
@@ -202,7 +210,7 @@
         });
     }
 
-    /// Books a change on a connection, and keeps nothing of one that has nothing on it.
+    /// Applies a change to the record of a viewer connection, and removes the record once it is empty.
     fn update_link(&mut self, link: ViewerLink, change: impl FnOnce(&mut LinkSessions)) {
         let on_link = self.links.entry(link).or_default();
         change(on_link);
@@ -211,6 +219,7 @@
         }
     }
 
+    /// Updates the ledger for one input.
     pub(in crate::director) fn handle_input(&mut self, now: Micros, input: Input, out: &mut Outbox) {
         match input {
             Input::List { scope, entries } => self.update_streamer_list(scope, entries, out),
@@ -297,7 +306,7 @@
         }
     }
 
-    /// Carries out what the module decided.
+    /// Carries out one action of the controller.
     pub(in crate::director) fn apply_action(&mut self, now: Micros, action: Action, out: &mut Outbox) {
         match action {
             Action::Send { request, streamer, try_for_us } => {
@@ -344,7 +353,7 @@
             Action::Timer { after_us, tag } => {
                 out.outputs.push(Deed::Wake(now.saturating_add(after_us), Due::Timer(tag)));
             }
-            Action::Subscribe => {} // the bulletin is always listened to
+            Action::Subscribe => {} // discovery is always subscribed to
             Action::Log(line) => out.outputs.push(Deed::Log(line)),
         }
     }
--- a/crates/core/src/director/ledger/streamers.rs
+++ b/crates/core/src/director/ledger/streamers.rs
@@ -1,11 +1,12 @@
-//! The ledger's steps towards streamers: the list's news, attempts that go out and how they end, sessions
-//! that stand and are over.
+//! The streamer side of the ledger: updates of the streamer list, attempts and their results, and established
+//! sessions and their end.
 use super::super::messages::*;
 use super::{Ledger, MAX_EARLY_RELEASES, Outbox, Session, SessionState, attempt_ended};
 use crate::interface::*;
 use std::rc::Rc;
 
 impl Ledger {
+    /// Applies an update of the streamer list, and ends the sessions of streamers that are gone or restarted.
     pub(super) fn update_streamer_list(&mut self, scope: ListScope, entries: Vec<Entry>, out: &mut Outbox) {
         out.counters.list_changes += 1;
         if matches!(scope, ListScope::Full | ListScope::Cached) {
@@ -19,10 +20,12 @@
             entries.iter().filter_map(|e| Some((e.streamer, e.started_at?))).collect();
         out.events.push(Event::List { scope, entries });
         gone_streamers.into_iter().for_each(|streamer| self.end_lost_sessions(streamer, Micros::MAX, out));
-        // What stood before a streamer's process started is gone with the one before.
+        // Sessions established before the streamer's process started were lost with the previous process.
         process_starts.into_iter().for_each(|(streamer, at)| self.end_lost_sessions(streamer, at, out));
     }
 
+    /// Sends the next attempt of a request to a streamer. It is reported as ignored if the request is not
+    /// waiting for an attempt or has used them up, or if the streamer is not up.
     pub(super) fn send_attempt(
         &mut self,
         now: Micros,
@@ -55,6 +58,7 @@
         out.outputs.push(Deed::SetUp(SetUp { streamer, attempt, rung, until, send_by, parcel }));
     }
 
+    /// Cancels an attempt whose time is up.
     pub(super) fn handle_attempt_timeout(&mut self, attempt: Attempt, out: &mut Outbox) {
         let Some(session) = self.sessions.get_mut(&attempt.session) else { return };
         match session.state {
@@ -67,6 +71,8 @@
         }
     }
 
+    /// Handles a streamer's answer that a session is established. A late answer, to an attempt that was
+    /// canceled, is not passed on: the session is released at its streamer.
     pub(super) fn handle_established(
         &mut self,
         now: Micros,
@@ -82,7 +88,7 @@
                 if at == streamer && number == Some(current) =>
             {
                 session.state = SessionState::Established { streamer, since: now };
-                session.parcel = Rc::default(); // needed for set-ups alone
+                session.parcel = Rc::default(); // only needed for set-ups
                 let (link, class) = (session.link, session.class);
                 self.clear_pending_answer(id);
                 self.update_link(link, |l| l.established += 1);
@@ -98,8 +104,9 @@
             (_, Some(SessionState::Established { streamer: at, .. })) if at == streamer => {
                 out.counters.strays += 1
             }
-            // An earlier attempt's, given up meanwhile. While another attempt is out at the same streamer a
-            // release would cut that one; the give-up, written before it, has ended the earlier one there.
+            // The answer belongs to an earlier, canceled attempt. Another attempt is in flight at the same
+            // streamer, and a release would cut that one. The earlier attempt needs no release: its
+            // cancellation was written before the new set-up and has ended it at the streamer.
             (_, Some(SessionState::InFlight { streamer: at, .. })) if at == streamer => {
                 out.counters.late_answers += 1
             }
@@ -110,7 +117,7 @@
         }
     }
 
-    /// Ends a session whose release came ahead of its answer, on another connection.
+    /// Ends a newly established session if its release overtook the answer on another connection.
     fn apply_early_release(&mut self, id: RequestId, streamer: StreamerId, out: &mut Outbox) {
         let Some(reason) = self.take_early_release(id, streamer) else { return };
         match reason {
@@ -119,13 +126,13 @@
         }
     }
 
-    /// Takes a release that came before the session was known to stand.
+    /// Removes and returns the release that came before the session was known to be established.
     pub(super) fn take_early_release(&mut self, id: RequestId, streamer: StreamerId) -> Option<Over> {
         let at = self.early_releases.iter().position(|early| (early.0, early.1) == (id, streamer))?;
         self.early_releases.remove(at).map(|early| early.2)
     }
 
-    /// Keeps a release of a session that is not known to stand.
+    /// Keeps a release of a session that is not known to be established; drops the oldest when full.
     fn keep_early_release(&mut self, id: RequestId, streamer: StreamerId, reason: Over) {
         if self.early_releases.len() >= MAX_EARLY_RELEASES {
             self.early_releases.pop_front();
@@ -133,7 +140,7 @@
         self.early_releases.push_back((id, streamer, reason));
     }
 
-    /// Ends a session that stands, towards its viewer and at its streamer.
+    /// Ends an established session: notifies its viewer and releases it at its streamer.
     pub(super) fn end_on_both_sides(
         &mut self,
         id: RequestId,
@@ -148,7 +155,8 @@
         self.remove_session(id, streamer, outcome, LoadReport::default(), out);
     }
 
-    /// An attempt ended by a word of the streamer's.
+    /// Ends an attempt because of a message from the streamer. A message that does not match the current
+    /// attempt is only counted.
     pub(super) fn end_attempt_by_streamer(
         &mut self,
         id: RequestId,
@@ -185,7 +193,8 @@
         }
     }
 
-    /// An attempt ended on this side; by the give-up under way where no outcome is named.
+    /// Ends an attempt because of an event on the director's side. `None` for `local_outcome` means that the
+    /// cancellation is complete: the attempt ends with the outcome for which it was canceled.
     pub(super) fn end_attempt_locally(
         &mut self,
         attempt: Attempt,
@@ -199,8 +208,8 @@
                 Some(outcome) => (streamer, number, outcome),
                 None => return,
             },
-            // A give-up that found the attempt unsent proves that it never ran.
-            // One that its viewer left says nothing of the streamer.
+            // A cancellation that found the attempt unsent proves that it never ran.
+            // If the viewer left, the outcome must not count against the streamer.
             SessionState::Canceling { streamer, number, outcome } => {
                 let unsent = local_outcome.filter(|o| o.never_ran());
                 let viewer_left = outcome == Outcome::Canceled;
@@ -223,7 +232,8 @@
         out.events.push(attempt_ended(id, number, streamer, outcome, last));
     }
 
-    /// A streamer set a session up whose viewer wants nothing more of it: answer and end come as one.
+    /// Handles a session that ended as soon as it was set up, since its viewer wants nothing more of it: the
+    /// streamer's release carries the answer as well.
     pub(super) fn handle_immediate_end(
         &mut self,
         id: RequestId,
@@ -251,6 +261,7 @@
         }
     }
 
+    /// Handles a streamer's release of a session.
     pub(super) fn handle_release(
         &mut self,
         from: StreamerId,
@@ -274,7 +285,7 @@
                 out.session_released(session.link, id, reason);
                 self.remove_session(id, streamer, outcome, report, out);
             }
-            // It has overtaken the answer on another connection.
+            // The release has overtaken the answer, which comes on another connection.
             SessionState::InFlight { streamer, .. } if streamer == from && number.is_none() => {
                 self.keep_early_release(id, from, reason);
             }
@@ -286,7 +297,7 @@
         }
     }
 
-    /// Takes a session that stood off the books.
+    /// Removes a session from the ledger and reports its end to the controller.
     pub(super) fn remove_session(
         &mut self,
         id: RequestId,
@@ -310,7 +321,7 @@
         out.events.push(Event::Ended { request: id, attempt, streamer, outcome, last: true, report });
     }
 
-    /// The sessions of a streamer that have stood since before a moment are lost.
+    /// Ends the sessions of a streamer that were established before the given time; they are lost.
     pub(super) fn end_lost_sessions(
         &mut self,
         streamer: StreamerId,
@@ -325,7 +336,7 @@
             }
             out.counters.cut += 1;
             out.outputs.push(Deed::Release(session.link, id, Over::Cut));
-            out.outputs.push(Deed::Drop(streamer, id)); // should it come back with the session
+            out.outputs.push(Deed::Drop(streamer, id)); // in case it comes back with the session
             self.remove_session(id, streamer, Outcome::Reset, LoadReport::default(), out);
         }
     }
--- a/crates/core/src/director/ledger/viewers.rs
+++ b/crates/core/src/director/ledger/viewers.rs
@@ -1,10 +1,11 @@
-//! The ledger's steps towards viewers: requests and hand-overs that come, viewers that leave, final answers.
+//! The viewer side of the ledger: new requests, handovers, viewers that leave, and final answers.
 use super::super::messages::*;
 use super::{ANSWER_GRACE_US, ANSWER_MARGIN_US, Ledger, Outbox, Session, SessionState};
 use crate::interface::*;
 use std::rc::Rc;
 
 impl Ledger {
+    /// Records a new request and passes it to the controller.
     pub(super) fn handle_session_request(
         &mut self,
         now: Micros,
@@ -44,14 +45,14 @@
         out.events.push(Event::Inbound(request));
     }
 
-    /// A set-up that can't be used, as one under a number that is taken. Where that number is open on the
-    /// same connection the viewer can't tell whose answer it gets: both have failed. A session that came on
-    /// another connection is not touched.
+    /// Rejects a set-up that cannot be used, such as one with a session id that is already in use. If a
+    /// request with the same id is pending on the same connection, the viewer could not tell which of the two
+    /// an answer belongs to, so both fail. A session from another connection is left alone.
     pub(super) fn reject_set_up(&mut self, link: ViewerLink, id: RequestId, out: &mut Outbox) {
         out.counters.unusable += 1;
         match self.sessions.get(&id) {
             Some(s) if s.link == link && matches!(s.state, SessionState::Established { .. }) => {
-                out.counters.strays += 1; // answered already; one more would end what stands
+                out.counters.strays += 1; // a second answer would end the established session
                 return;
             }
             Some(s) if s.link == link && s.answer_pending => {
@@ -64,6 +65,8 @@
         out.outputs.push(Deed::Spurn(link, id));
     }
 
+    /// Takes over a session that already plays at a streamer. It is released at once if the streamer has
+    /// released it before the handover, or if the streamer is not in the list.
     pub(super) fn handle_handover(
         &mut self,
         now: Micros,
@@ -74,7 +77,7 @@
     ) {
         let id = request.id;
         if self.sessions.contains_key(&id) {
-            return; // it may name what is held already
+            return; // a handover may repeat a session that this director holds
         }
         out.counters.handed_over += 1;
         if let Some(reason) = self.take_early_release(id, streamer) {
@@ -114,7 +117,8 @@
         out.outputs.push(Deed::Attend(streamer));
     }
 
-    /// What ends a session may come on any connection, what gives a set-up up on its own alone.
+    /// Ends a session or cancels a pending set-up at the viewer's request. An established session may be
+    /// ended from any connection, a pending set-up may be canceled only from its own.
     pub(super) fn handle_viewer_left(&mut self, link: ViewerLink, id: RequestId, out: &mut Outbox) {
         let Some(session) = self.sessions.get(&id).filter(|s| !s.answer_pending || s.link == link) else {
             out.counters.strays += 1;
@@ -132,7 +136,8 @@
         }
     }
 
-    /// The viewer will never hear that its session stands, and so will not end it: it is ended from here.
+    /// Ends a session whose answer could not be delivered. The viewer does not know that the session is
+    /// established and so will never end it.
     pub(super) fn handle_undelivered_answer(&mut self, id: RequestId, out: &mut Outbox) {
         let Some(SessionState::Established { streamer, .. }) = self.sessions.get(&id).map(|s| s.state) else {
             return;
@@ -142,7 +147,7 @@
         self.remove_session(id, streamer, Outcome::Canceled, LoadReport::default(), out);
     }
 
-    /// Nothing is owed for this request any more: an attempt that is out is given up.
+    /// Cancels a request that needs no final answer any more, with the attempt that is in flight.
     pub(super) fn cancel_request(&mut self, id: RequestId, out: &mut Outbox) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         out.events.push(Event::ClientGone(id));
@@ -158,7 +163,8 @@
         }
     }
 
-    /// The viewer's time is up and the module has not answered: a give-up still waits to be written.
+    /// Fails a request that is still unanswered, for example because its time is up while the controller
+    /// cannot answer yet: the cancellation of an attempt still waits to be written.
     pub(super) fn fail_unanswered(&mut self, id: RequestId, out: &mut Outbox) {
         let Some(session) = self.sessions.get(&id).filter(|s| s.answer_pending) else { return };
         out.counters.failed += 1;
@@ -168,7 +174,7 @@
         self.cancel_request(id, out);
     }
 
-    /// Takes a request off the books for its final answer; `None` where none is owed.
+    /// Removes a request in order to answer it; `None` if no answer is pending or an attempt is not over.
     pub(super) fn remove_unanswered(&mut self, id: RequestId) -> Option<(ViewerLink, ClassId)> {
         let session =
             self.sessions.get(&id).filter(|s| s.answer_pending && s.state == SessionState::Placing)?;
