--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -1,5 +1,5 @@
-//! Clients that close, reset or give up, and streamers whose answers and breaks cross them. Each bad order is
-//! forced: the director is stopped, both sides act, and it meets all of it in one turn.
+//! Viewers that close, reset or cancel while answers or resets from streamers cross them. Each bad order is
+//! forced: the director process is stopped, both sides act, and it then sees everything in one turn.
 mod common;
 mod rig;
 use rig::*;
@@ -7,42 +7,45 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A set-up that is on its way to a connection that can't come up yet.
+/// Requests a session whose set-up waits for a connection to the streamer, which cannot be established
+/// until the second returned stream, which fills the listener's queue, is accepted. The first is the
+/// viewer's connection.
 fn set_up_waiting_for_a_connection(rig: &Rig, id: u64, class: &str) -> (TcpStream, TcpStream) {
     let backlog_filler = hold_back(&rig.streamer);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(id, class)).expect("written");
-    until("it is sent", || rig.figure("sent") == 1);
+    until("the set-up is sent", || rig.figure("sent") == 1);
     (viewer, backlog_filler)
 }
 
-/// Closes a connection so that its peer sees a reset, behind what was written before.
+/// Closes a connection so that its peer sees a reset after the data written before.
 fn close_with_reset(stream: TcpStream) {
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
 }
 
+/// Whether an RTSP message concerns the session.
 fn is_for(message: &str, id: u64) -> bool {
     message.contains(&format!("Session: {id:016x}"))
 }
 
-/// The connection came up in the same turn as the viewer's close: the set-up was written before the close was
-/// heard.
+/// The connection to the streamer came up in the same turn as the viewer's close, and the set-up was written
+/// before the close was processed.
 #[test]
 fn a_set_up_waiting_for_a_connection_is_not_sent_after_its_viewer_closed() {
     let rig = Rig::with_door_and(&common::patient());
     let (viewer, _backlog_filler) = set_up_waiting_for_a_connection(&rig, 0xc1, "replay");
     rig.stop();
     rig.close(viewer);
-    drop(accept(&rig.streamer)); // the one that filled the queue
-    let mut streamer = rig.streamer(); // the director's comes up while it stands still
+    drop(accept(&rig.streamer)); // the connection that filled the queue
+    let mut streamer = rig.streamer(); // the director's own, established while the process is stopped
     rig.go_on();
     let mut other = rig.viewer();
     other.write_all(&set_up(0xc2, "replay")).expect("written");
     let request = read_rtsp(&mut streamer);
-    assert!(request.starts_with("SETUP") && is_for(&request, 0xc2), "nothing went out before: {request}");
+    assert!(request.starts_with("SETUP") && is_for(&request, 0xc2), "nothing was sent before: {request}");
 }
 
-/// The same with a give-up on a connection that stays open.
+/// The same race with a cancellation by the viewer on a connection that stays open.
 #[test]
 fn a_set_up_waiting_for_a_connection_is_not_sent_after_its_viewer_canceled() {
     let rig = Rig::with_door_and(&common::patient());
@@ -54,10 +57,10 @@
     rig.go_on();
     viewer.write_all(&set_up(0xc4, "replay")).expect("written");
     let request = read_rtsp(&mut streamer);
-    assert!(request.starts_with("SETUP") && is_for(&request, 0xc4), "nothing went out before: {request}");
+    assert!(request.starts_with("SETUP") && is_for(&request, 0xc4), "nothing was sent before: {request}");
 }
 
-/// The same with the list's word that the streamer drains.
+/// The same race with a streamer list update that says the streamer is draining.
 #[test]
 fn a_set_up_waiting_for_a_connection_is_not_sent_to_a_draining_streamer() {
     let rig = Rig::with_door_and(&common::patient());
@@ -71,12 +74,17 @@
     discovery.write_all(format!("{roster}\n").as_bytes()).expect("written");
     rig.go_on();
     let (kind, id, parameters) = hear(&mut viewer);
-    assert_eq!((kind, id, &parameters[..4]), (12, 0xc5, &[58, 0, 1, 42][..]), "refused: it never ran");
+    assert_eq!(
+        (kind, id, &parameters[..4]),
+        (12, 0xc5, &[58, 0, 1, 42][..]),
+        "refused, since the attempt never ran"
+    );
     drop(rig);
-    assert_eq!(streamer.read(&mut [0; 64]).unwrap_or(0), 0, "nothing went out");
+    assert_eq!(streamer.read(&mut [0; 64]).unwrap_or(0), 0, "nothing was sent");
 }
 
-/// The answer and the viewer's close met in one turn: the session was left standing with nobody to end it.
+/// The answer and the viewer's close arrived in one turn, and the session stayed established with nobody to
+/// end it.
 #[test]
 fn a_session_answered_while_its_viewer_closes_is_released_at_its_streamer() {
     let rig = Rig::start();
@@ -95,8 +103,9 @@
     assert!(is_for(&read_rtsp(&mut streamer), 0xc7));
 }
 
-/// The answer had been written when its viewer reset the connection without having read it: the session was left
-/// standing with nobody to end it. A viewer that had read it hears of the end.
+/// The viewer reset its connection after the answer was written and before it was read, and the session
+/// stayed established with nobody to end it. The end is also sent to the viewer, in case it did read the
+/// answer.
 #[test]
 fn a_session_whose_answer_was_unread_at_a_reset_is_released_on_both_sides() {
     let rig = Rig::with_door();
@@ -106,17 +115,17 @@
     read_rtsp(&mut streamer);
     let mut other = rig.viewer();
     other.write_all(&set_up(0xcd, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut other).1, 0xcd, "a viewer's connection, too");
+    assert_eq!(hear(&mut other).1, 0xcd, "this is a viewer's connection, too");
     streamer.write_all(&stands(0xcc, "answer")).expect("written");
     viewer.peek(&mut [0]).expect("the answer is there");
-    drop(viewer); // with the answer unread: a reset
+    drop(viewer); // with the answer unread, this sends a reset
     let request = read_rtsp(&mut streamer);
     assert!(request.starts_with("TEARDOWN") && is_for(&request, 0xcc), "{request}");
     assert_eq!(hear(&mut other), (12, 0xcc, vec![58, 0, 1, 41]));
 }
 
-/// The viewer left while the request was out: the attempt is cancelled, and an answer that crosses that is
-/// released, whichever comes first.
+/// The viewer closed while the attempt was in flight: the attempt is canceled, and the session of an answer
+/// that crosses the close is released, whichever is processed first.
 #[test]
 fn an_answer_crossing_its_viewers_close_is_released_at_its_streamer() {
     let rig = Rig::start();
@@ -132,8 +141,8 @@
     assert!(request.starts_with("TEARDOWN") && is_for(&request, 0xc8), "{request}");
 }
 
-/// A whole request and the end of input in one read, half a request and the end: dropped as the viewer's doing,
-/// nothing is sent, and the next request is served.
+/// A whole request with the end of input in one read, or half a request with the end of input: the viewer has
+/// left, so the request is dropped, no attempt is sent, and the next request is served.
 #[test]
 fn a_request_followed_by_end_of_input_starts_no_attempt() {
     let rig = Rig::start();
@@ -151,8 +160,8 @@
     assert!(request.starts_with("SETUP") && is_for(&request, 0xcb), "{request}");
 }
 
-/// While something waited to be written to a streamer, a break of the connection was met by the write first,
-/// and the answer that had come before the break was thrown away.
+/// While data waited to be written to a streamer, a reset of the connection was noticed by the write first,
+/// and an answer that had arrived before the reset was discarded.
 #[test]
 fn an_answer_before_a_reset_is_read_despite_pending_writes() {
     let rig = Rig::with_door_and(&common::patient());
@@ -161,11 +170,12 @@
     viewer.write_all(&set_up(0xcf, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(0xcf, "answer")).expect("written"); // few wait for a title that never stood
+    // Few set-ups may wait for a title of which no session has been established yet.
+    streamer.write_all(&stands(0xcf, "answer")).expect("written");
     assert_eq!(hear(&mut viewer).0, 9);
     viewer.write_all(&set_up(0xd0, "replay")).expect("written");
     read_rtsp(&mut streamer);
-    // More than the machine keeps for a streamer that does not read.
+    // More than the kernel buffers for a streamer that does not read.
     let long_description = vec![b'o'; 15_000];
     let figures = b"home:0;copies:1;top:1;viewer:00000000b4d65521";
     let queued_set_ups: u64 = 250;
@@ -174,17 +184,18 @@
             [(16, b"replay"), (19, b"20000"), (28, b"7f3a"), (31, figures), (61, &long_description)];
         viewer.write_all(&message(1, 0x1_0000 + id, &parameters)).expect("written");
     }
-    until("all are sent", || rig.figure("sent") == queued_set_ups + 2);
-    assert!(rig.figure("relayed") < queued_set_ups + 2, "some wait to be written");
+    until("all set-ups are sent", || rig.figure("sent") == queued_set_ups + 2);
+    assert!(rig.figure("relayed") < queued_set_ups + 2, "some set-ups wait to be written");
     rig.stop();
     streamer.write_all(&stands(0xd0, "answer")).expect("written");
     close_with_reset(streamer);
     rig.go_on();
     let answer = (0..=queued_set_ups).map(|_| hear(&mut viewer)).find(|message| message.1 == 0xd0);
-    assert_eq!(answer.map(|message| message.0), Some(9), "it stands");
+    assert_eq!(answer.map(|message| message.0), Some(9), "the session is established");
 }
 
-/// Answers that a viewer never read were thrown away with its connection, and their sessions left standing.
+/// Answers that a viewer never read were discarded with its connection, and their sessions stayed
+/// established.
 #[test]
 fn sessions_with_undelivered_answers_are_released_at_their_streamer() {
     let mut rig = Rig::with_door_and(&common::patient());
@@ -192,24 +203,25 @@
     let mut streamer = None;
     let long_description = "a".repeat(15_000);
     let mut sent_count = 0;
-    // One that reads nothing: its window closes, then the machine's buffer is full, then the director's.
+    // The viewer reads nothing: its receive window closes, then the kernel's send buffer fills, then the
+    // director's.
     while rig.figure("overfull") == 0 {
         sent_count += 1;
-        assert!(sent_count < 2_000, "it is never closed");
+        assert!(sent_count < 2_000, "the connection is never closed");
         (&viewer).write_all(&set_up(sent_count, "replay")).expect("written");
         let streamer = streamer.get_or_insert_with(|| rig.streamer());
         read_rtsp(streamer);
         streamer.write_all(&stands(sent_count, &long_description)).expect("written");
-        until("answered", || rig.figure("served") == sent_count);
+        until("the request is answered", || rig.figure("served") == sent_count);
     }
     next_line(&mut rig.log, "viewers do not read");
     let request = read_rtsp(streamer.as_mut().expect("connected"));
     assert!(request.starts_with("TEARDOWN"), "{request}");
-    until("all that had not left are", || rig.figure("undelivered") > 1);
+    until("all sessions with undelivered answers are released", || rig.figure("undelivered") > 1);
 }
 
-/// A reset while answers are half written: their sessions are ended at the streamer, and so is the one that the
-/// viewer had given up just before, which was thrown away with the connection.
+/// A reset while answers are half written: their sessions are released at the streamer, and so is the session
+/// that the viewer ended just before the reset. That message used to be discarded with the connection.
 #[test]
 fn a_reset_during_half_written_answers_leaves_no_session_established() {
     let rig = Rig::with_door_and(&common::patient());
@@ -220,7 +232,10 @@
     close_with_reset(viewer);
     rig.go_on();
     let request = read_rtsp(&mut streamer);
-    assert!(request.starts_with("TEARDOWN") && is_for(&request, first), "as the viewer asked: {request}");
-    until("those that had not left are, too", || rig.figure("undelivered") > undelivered);
+    assert!(
+        request.starts_with("TEARDOWN") && is_for(&request, first),
+        "released as the viewer asked: {request}"
+    );
+    until("sessions with undelivered answers are released, too", || rig.figure("undelivered") > undelivered);
     assert!(read_rtsp(&mut streamer).starts_with("TEARDOWN"));
 }
--- a/tests/common/ledger.rs
+++ b/tests/common/ledger.rs
@@ -1,14 +1,16 @@
-//! A director's core without sockets, for tests of its ledger.
+//! Helpers for tests that drive a director's core without sockets.
 use super::*;
 use std::rc::Rc;
 use stonewharf::director::*;
 
-/// The connection that all requests come on.
+/// The viewer connection on which [`session_request`] sends its requests.
 pub const VIEWER_LINK: ViewerLink = ViewerLink(7);
 
-/// Time after which the director no longer doubts what it knew at its own start.
+/// Time after which the director no longer treats its own state as uncertain because of its recent start.
 const STARTUP_US: Micros = 20 * S;
 
+/// A director without a streamer list. Sessions of class 0 are paid and may be set up at most once; class 1
+/// is idempotent.
 pub fn new_director() -> Director {
     let mut paid_class = class(2.0, Effect::AtMostOnce);
     paid_class.lowest_rung = 1;
@@ -16,7 +18,7 @@
     Director::new(director_settings, 1, 0).expect("settings")
 }
 
-/// A director with its list, its clock past the doubts of its own start.
+/// A director with a list of four streamers, and a time past its start-up phase.
 pub fn ready_director() -> (Director, Micros) {
     let mut director = new_director();
     let streamer_list = |scope| Input::List { scope, entries: (0..4).map(|i| entry(i, i)).collect() };
@@ -24,11 +26,12 @@
     (director, STARTUP_US)
 }
 
+/// A viewer's request for a session.
 pub fn session_request(id: u64, class: usize) -> Input {
     Input::Wanted { link: VIEWER_LINK, request: request(id, class), parcel: Rc::default() }
 }
 
-/// The set-up among what is to be done.
+/// The streamer, the attempt and the deadline of the set-up among the outputs.
 pub fn find_set_up(outputs: &[Deed]) -> Option<(StreamerId, Attempt, Micros)> {
     outputs.iter().find_map(|output| match output {
         Deed::SetUp(SetUp { streamer, attempt, until, .. }) => Some((*streamer, *attempt, *until)),
@@ -36,7 +39,7 @@
     })
 }
 
-/// One turn, without deadlines and lines for the log.
+/// Runs one turn; leaves out deadlines, log lines and [`Deed::Attend`].
 pub fn run_turn(director: &mut Director, now: Micros, input: Input) -> Vec<Deed> {
     let outputs = director.turn(now, [input]);
     outputs
@@ -45,6 +48,7 @@
         .collect()
 }
 
+/// A streamer's answer that the session of an attempt is established.
 pub fn established(streamer: StreamerId, attempt: Attempt, number: Option<u32>) -> Input {
     Input::Stands { streamer, session: attempt.session, number, description: b"as made".to_vec() }
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! The session ledger without sockets: crossings that are easy to get wrong, one by one.
+//! The session ledger without sockets: crossings of messages that are easy to get wrong, one test for each.
 mod common;
 use common::ledger::{VIEWER_LINK, established, find_set_up, ready_director, run_turn, session_request};
 use common::*;
@@ -6,8 +6,8 @@
 use stonewharf::director::*;
 use stonewharf::*;
 
-/// A streamer sets up a session whose viewer wants nothing more of it, and says so in one release with the
-/// description. Taken for a reset it made every streamer suspect and cost paid viewers their only set-up.
+/// A streamer that sets up a session of which the viewer wants nothing more sends a single release with the
+/// description. Treated as a reset, it made every streamer suspect and cost paid viewers their only attempt.
 #[test]
 fn a_session_released_with_its_answer_is_answered_and_released() {
     let (mut director, now) = ready_director();
@@ -21,8 +21,9 @@
     assert_eq!(outputs, [answer, Deed::Release(VIEWER_LINK, session, Over::Ended)]);
 }
 
-/// A number that is open on another connection is refused to the second one, which can't end the first either;
-/// on the same connection both have failed, since the viewer can't tell them apart. Neither was answered.
+/// A session id that is in use on another connection is rejected, and the second connection cannot end the
+/// first one's session. On the same connection both requests fail, since the viewer could not tell their
+/// answers apart. Before, neither request was answered.
 #[test]
 fn a_duplicate_session_id_is_rejected_without_touching_another_connections_session() {
     let (mut director, now) = ready_director();
@@ -44,7 +45,7 @@
     assert_eq!(director.owed(), 0);
 }
 
-/// Hundreds of requests at once on one connection crowded out all others' answers.
+/// Hundreds of simultaneous requests on one connection crowded out the answers to all other connections.
 #[test]
 fn requests_over_the_limit_of_one_connection_are_refused_at_once() {
     let (mut director, now) = ready_director();
@@ -56,8 +57,9 @@
     assert!((256..300).all(|id| refused.contains(&id)), "{refused:?}");
 }
 
-/// One answer that could not be read was taken for a restart: its streamer was barred and, as if cold, had next
-/// to nothing for its warm-up. The attempt may have run, so a paid viewer is told that it failed.
+/// One unreadable answer was treated as a restart: its streamer was barred and then treated as cold, with
+/// almost no capacity during its warm-up. The attempt may have run, so a paid viewer is told that it
+/// failed.
 #[test]
 fn an_unreadable_answer_fails_its_attempt_without_barring_the_streamer() {
     let (mut director, now) = ready_director();
@@ -74,11 +76,11 @@
             at == streamer
         })
     });
-    assert!(used_again, "it is used as before");
+    assert!(used_again, "the streamer is still used");
 }
 
-/// Streamers come and go under new names for as long as the director runs: a table of all that were ever
-/// seen would grow without end. A number is not given out twice.
+/// Streamers come and go under new names for as long as the director runs, so a table of all names ever seen
+/// would grow without bound. The id of a forgotten name is not assigned again.
 #[test]
 fn a_forgotten_name_is_removed_and_its_id_is_not_reused() {
     let mut names = settings::Names::default();
@@ -88,21 +90,26 @@
     assert!(!ids.contains(&names.id("a")));
 }
 
-/// A give-up and a late answer cross: the session is released at its streamer, its viewer hears nothing more.
+/// A cancellation crosses a late answer: the session is released at its streamer, and its viewer is sent
+/// nothing more.
 #[test]
 fn a_late_answer_releases_its_session_and_is_not_forwarded() {
     let (mut director, now) = ready_director();
     let (streamer, attempt, until) =
         find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("a set-up");
     let outputs = run_turn(&mut director, until, Input::Due(Due::Attempt(attempt)));
-    assert_eq!(outputs, [Deed::GiveUp(streamer, attempt)], "nothing else before the give-up is written");
+    assert_eq!(outputs, [Deed::GiveUp(streamer, attempt)], "nothing else before the cancellation is written");
     let outputs = run_turn(&mut director, until, Input::GaveUp(attempt));
-    assert_eq!(outputs, [Deed::Fail(VIEWER_LINK, attempt.session)], "it may have run: failed, not refused");
+    assert_eq!(
+        outputs,
+        [Deed::Fail(VIEWER_LINK, attempt.session)],
+        "the attempt may have run: failed, not refused"
+    );
     let outputs = run_turn(&mut director, until + 1, established(streamer, attempt, None));
     assert_eq!(outputs, [Deed::Drop(streamer, attempt.session)]);
 }
 
-/// A give-up that can't be written holds the next send, but not the final answer at the end of the time.
+/// A cancellation that cannot be written delays the next attempt, but not the final answer at the deadline.
 #[test]
 fn the_final_answer_does_not_wait_for_an_unwritten_cancellation() {
     let (mut director, now) = ready_director();
@@ -117,8 +124,8 @@
     assert!(run_turn(&mut director, now + 4 * S, Input::GaveUp(attempt)).is_empty());
 }
 
-/// What stood before a streamer's process started is lost with the process before; what was set up on the
-/// new one before its start was told is not.
+/// Sessions established before a streamer's process started were lost with the previous process. Sessions
+/// set up on the new process before its start time was reported are kept.
 #[test]
 fn a_restart_ends_only_sessions_established_before_it() {
     let (mut director, now) = ready_director();
@@ -134,9 +141,9 @@
     assert_eq!(director.standing_at(streamer), 0);
 }
 
-/// The margin for an answer at the end of the viewer's time is the ledger's own: taken off what the module is
-/// told, it put waits just over the module's one second for asking a streamer first under that bound, and
-/// hardly a load test was sent.
+/// The margin for the final answer applies only in the ledger. When it was deducted from the time limit
+/// that the controller is told, limits just over one second fell below the one second that the controller
+/// requires for probing a streamer first, and hardly any load test was sent.
 #[test]
 fn the_controller_gets_the_full_time_limit_and_attempts_end_before_it() {
     let mut probe_settings = settings(vec![class(1.0, Effect::AtMostOnce)]);
@@ -147,32 +154,32 @@
     let (link, parcel, now) = (VIEWER_LINK, Rc::default(), 20 * S);
     let request = Request { left_us: S + 18_000, ..request(1, 0) };
     let outputs = run_turn(&mut director, now, Input::Wanted { link, request, parcel });
-    let [Deed::Probe(streamer)] = outputs[..] else { panic!("not asked first: {outputs:?}") };
+    let [Deed::Probe(streamer)] = outputs[..] else { panic!("not probed first: {outputs:?}") };
     let (outcome, report) = (Outcome::Failed, LoadReport::default());
     let mut outputs = run_turn(&mut director, now + 1, Input::Probed { streamer, outcome, report });
     if let [Deed::Probe(streamer)] = outputs[..] {
         outputs = run_turn(&mut director, now + 2, Input::Probed { streamer, outcome, report });
     }
     let (_, _, until) = find_set_up(&outputs).expect("a set-up");
-    assert!(until < now + S, "the answer must be out before the viewer's time is up");
+    assert!(until < now + S, "the answer must be sent before the viewer's time is up");
 }
 
-/// A viewer that is never told that its session stands never ends it: it is ended from here, once.
+/// A viewer that is never told that its session is established never ends it, so the director ends it, once.
 #[test]
 fn a_session_with_an_undelivered_answer_is_released_at_its_streamer() {
     let (mut director, now) = ready_director();
     let (streamer, attempt, _) =
-        find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("sent");
+        find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("a set-up");
     let outputs = run_turn(&mut director, now, established(streamer, attempt, Some(attempt.number)));
     assert!(outputs.iter().any(|output| matches!(output, Deed::Answer(..))));
     let release = Deed::Drop(streamer, attempt.session);
     assert_eq!(run_turn(&mut director, now, Input::Undelivered(attempt.session)), vec![release]);
-    assert_eq!(run_turn(&mut director, now, Input::Undelivered(attempt.session)), vec![], "over already");
+    assert_eq!(run_turn(&mut director, now, Input::Undelivered(attempt.session)), vec![], "already ended");
     assert_eq!(director.standing_at(streamer), 0);
 }
 
-/// A viewer that left before its set-up had a connection says nothing of the streamer: the module hears that the
-/// attempt never left, not that no connection came up.
+/// When a viewer leaves before its set-up has a connection, that says nothing about the streamer: the
+/// controller is told that the attempt was never sent, not that the connection failed.
 #[test]
 fn a_viewer_leaving_before_its_set_up_is_sent_does_not_count_against_the_streamer() {
     let (mut director, now) = ready_director();
@@ -185,5 +192,5 @@
         assert!(outputs.contains(&Deed::GiveUp(streamer, attempt)));
         run_turn(&mut director, now, Input::Unsent(attempt, Unsent::NoConnection));
     }
-    assert_eq!(director.listed().1, 0, "none is avoided");
+    assert_eq!(director.listed().1, 0, "no streamer is avoided");
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! The session ledger without sockets: a model of a session's states against random steps, and the crossings
-//! that are easy to get wrong.
+//! Property test of the session ledger without sockets: random steps are checked against a model of the
+//! session states, message crossings that are easy to get wrong among them.
 mod common;
 use common::ledger::{VIEWER_LINK, established, ready_director, session_request};
 use common::*;
@@ -8,7 +8,7 @@
 use stonewharf::director::*;
 use stonewharf::*;
 
-/// What the model knows of a session: who is owed what, and what may have run where.
+/// What the model knows of a session: its attempt in flight, and whether it is answered or may have run.
 #[derive(Default)]
 struct SessionModel {
     class: usize,
@@ -20,17 +20,17 @@
     viewer_left: bool,
 }
 
-/// Plays steps against a director, as its transport, and checks each output against the model.
+/// Runs steps against a director, acting as its transport, and checks each output against the model.
 fn run_steps(steps: &[(u8, u8, u8)]) -> Result<(), String> {
     let (mut director, mut now) = ready_director();
     let mut sessions: BTreeMap<RequestId, SessionModel> = BTreeMap::new();
     let mut standings = [Standing::Up; 4];
     let mut timers: Deadlines<Due> = Deadlines::default();
-    let drain_us = steps.len() as u64 * 20_000 + 40 * S;
+    let final_wait_us = steps.len() as u64 * 20_000 + 40 * S;
     for step in 0..steps.len() + 1 {
         let last = step == steps.len();
         let (kind, a, b) = steps.get(step).copied().unwrap_or_default();
-        now += if last { drain_us } else { u64::from(b) * 2_000 };
+        now += if last { final_wait_us } else { u64::from(b) * 2_000 };
         run_until_idle(&mut director, &mut sessions, &standings, &mut timers, (now, a), vec![])
             .map_err(|why| format!("step {step}: {why}"))?;
         let mut inputs = Vec::new();
@@ -73,7 +73,7 @@
                 standings[at.0 as usize] = e.standing;
                 inputs.push(Input::List { scope: ListScope::Delta, entries: vec![e] });
             }
-            // A word of an attempt that was given up, or of none at all.
+            // An answer for an attempt that was canceled, or that never existed.
             (11, _) => inputs.push(established(at, Attempt { session: id, number: 0 }, None)),
             _ => {}
         }
@@ -83,14 +83,14 @@
     let unanswered = sessions.values().filter(|m| !m.answered && !m.viewer_left).count();
     if unanswered > 0 || director.owed() > 0 {
         return Err(format!(
-            "{unanswered} requests were never answered, {} are on the books",
+            "{unanswered} requests were never answered, the director holds {} as pending",
             director.owed()
         ));
     }
     Ok(())
 }
 
-/// Transport and ledger answer each other until nothing is left, as in a turn of the loop.
+/// Feeds the transport's reactions back to the director until none is left, as in a turn of the event loop.
 fn run_until_idle(
     director: &mut Director,
     sessions: &mut BTreeMap<RequestId, SessionModel>,
@@ -125,7 +125,7 @@
     }
 }
 
-/// An attempt is over.
+/// Records in the model that an attempt has ended.
 fn end_attempt(
     sessions: &mut BTreeMap<RequestId, SessionModel>,
     session: &RequestId,
@@ -139,6 +139,7 @@
     }
 }
 
+/// Updates the model for an input to the director.
 fn observe_input(sessions: &mut BTreeMap<RequestId, SessionModel>, input: &Input) {
     match input {
         Input::ViewerLeft(_, id) => {
@@ -164,6 +165,7 @@
     }
 }
 
+/// Checks an output of the director against the model, and updates the model for it.
 fn check_output(
     sessions: &mut BTreeMap<RequestId, SessionModel>,
     standings: &[Standing; 4],
@@ -173,30 +175,30 @@
     let ensure = |ok: bool, why| if ok { Ok(()) } else { Err(why) };
     match output {
         Deed::SetUp(SetUp { streamer, attempt, until, .. }) => {
-            let m = sessions.get_mut(&attempt.session).ok_or("a set-up for nobody")?;
-            ensure(m.in_flight.is_none(), "two attempts out at once")?;
-            ensure(!m.answered && !m.viewer_left, "a set-up after the answer")?;
+            let m = sessions.get_mut(&attempt.session).ok_or("a set-up for an unknown session")?;
+            ensure(m.in_flight.is_none(), "two attempts in flight at once")?;
+            ensure(!m.answered && !m.viewer_left, "a set-up after the final answer")?;
             ensure(m.class == 1 || !m.may_have_run, "a paid set-up that may have run is sent again")?;
-            ensure(standings[streamer.0 as usize] == Standing::Up, "a set-up to a streamer that drains")?;
-            ensure(*until > now, "a set-up without time")?;
+            ensure(standings[streamer.0 as usize] == Standing::Up, "a set-up to a draining streamer")?;
+            ensure(*until > now, "a set-up whose deadline has passed")?;
             m.in_flight = Some((*streamer, *attempt, *until));
         }
         Deed::GiveUp(_, attempt) => {
-            let m = sessions.get_mut(&attempt.session).ok_or("a give-up for nobody")?;
-            // In the same turn the attempt may have ended by itself after its time was up.
-            ensure(m.in_flight.is_none_or(|o| o.1 == *attempt), "a give-up of another attempt")?;
+            let m = sessions.get_mut(&attempt.session).ok_or("a cancellation for an unknown session")?;
+            // The attempt may have ended by itself in the same turn, after its deadline passed.
+            ensure(m.in_flight.is_none_or(|o| o.1 == *attempt), "a cancellation of another attempt")?;
             m.canceling = m.in_flight.is_some();
         }
         Deed::Answer(_, id, _) | Deed::Refuse(_, id, _) | Deed::Fail(_, id) => {
-            let m = sessions.get_mut(id).ok_or("an answer to nobody")?;
+            let m = sessions.get_mut(id).ok_or("an answer for an unknown session")?;
             ensure(!m.answered, "a second answer")?;
             ensure(!m.viewer_left, "an answer to a viewer that has left")?;
             m.answered = true;
             if let Deed::Answer(_, _, description) = output {
-                ensure(description == b"as made", "an answer that no streamer made")?;
-                ensure(!m.canceling, "an answer of an attempt that was given up")?;
+                ensure(description == b"as made", "an answer with a description that no streamer sent")?;
+                ensure(!m.canceling, "an answer from a canceled attempt")?;
                 m.established_at = m.in_flight.take().map(|o| o.0);
-                ensure(m.established_at.is_some(), "an answer of no attempt")?;
+                ensure(m.established_at.is_some(), "an answer without an attempt")?;
             }
             let refused = matches!(output, Deed::Refuse(..));
             ensure(
@@ -205,16 +207,16 @@
             )?;
         }
         Deed::Release(_, id, _) => {
-            let m = sessions.get_mut(id).ok_or("a release to nobody")?;
-            ensure(m.answered, "a release before the answer")?;
+            let m = sessions.get_mut(id).ok_or("a release of an unknown session")?;
+            ensure(m.answered, "a release before the final answer")?;
         }
         _ => {}
     }
     Ok(())
 }
 
-/// Guards the promises of the ledger, whatever comes in and in whatever order: one final answer, one attempt
-/// at a time, no paid set-up twice, nothing sent to a streamer that drains, nothing left unanswered.
+/// Checks the invariants of the ledger for any inputs in any order: one final answer, one attempt at a
+/// time, no paid set-up sent twice, nothing sent to a draining streamer, and no request left unanswered.
 #[test]
 fn random_steps_preserve_the_ledger_invariants() {
     let check_steps = |steps: Vec<(u8, u8, u8)>| match run_steps(&steps) {
