--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -29,31 +29,34 @@
     let final_wait_us = steps.len() as u64 * 20_000 + 40 * S;
     for step in 0..steps.len() + 1 {
         let last = step == steps.len();
-        let (kind, a, b) = steps.get(step).copied().unwrap_or_default();
-        now += if last { final_wait_us } else { u64::from(b) * 2_000 };
-        run_until_idle(&mut director, &mut sessions, &standings, &mut timers, (now, a), vec![])
+        let (kind, session_byte, detail_byte) = steps.get(step).copied().unwrap_or_default();
+        now += if last { final_wait_us } else { u64::from(detail_byte) * 2_000 };
+        run_until_idle(&mut director, &mut sessions, &standings, &mut timers, (now, session_byte), vec![])
             .map_err(|why| format!("step {step}: {why}"))?;
         let mut inputs = Vec::new();
-        let id = RequestId(u64::from(a % 8) + 8 * (step as u64 / 64));
-        let at = StreamerId(u32::from(b % 4));
-        let known = sessions.get(&id);
-        let in_flight = known.and_then(|m| m.in_flight);
+        let id = RequestId(u64::from(session_byte % 8) + 8 * (step as u64 / 64));
+        let at = StreamerId(u32::from(detail_byte % 4));
+        let model = sessions.get(&id);
+        let in_flight = model.and_then(|m| m.in_flight);
         match (kind % 12, in_flight) {
             _ if last => {}
-            (0..=3, _) if known.is_none() => {
-                sessions.insert(id, SessionModel { class: usize::from(b % 2), ..SessionModel::default() });
-                inputs.push(session_request(id.0, usize::from(b % 2)));
+            (0..=3, _) if model.is_none() => {
+                sessions.insert(
+                    id,
+                    SessionModel { class: usize::from(detail_byte % 2), ..SessionModel::default() },
+                );
+                inputs.push(session_request(id.0, usize::from(detail_byte % 2)));
             }
             (4, Some((streamer, attempt, _))) => {
                 inputs.push(established(streamer, attempt, Some(attempt.number)))
             }
             (5, Some((streamer, attempt, _))) => {
                 let outcomes = [Outcome::QueueFull, Outcome::Failed, Outcome::Ignored, Outcome::Reset];
-                let outcome = outcomes[usize::from(b % 4)];
+                let outcome = outcomes[usize::from(detail_byte % 4)];
                 let (session, number, report) = (id, Some(attempt.number), LoadReport::default());
                 inputs.push(Input::TurnedAway { streamer, session, number, outcome, report });
             }
-            (6, Some((_, attempt, _))) => inputs.push(match b % 3 {
+            (6, Some((_, attempt, _))) => inputs.push(match detail_byte % 3 {
                 0 => Input::Broken(attempt),
                 1 => Input::Unsent(attempt, Unsent::NoConnection),
                 _ => Input::Unsent(attempt, Unsent::Withdrawn),
@@ -61,7 +64,7 @@
             (7, _) => inputs.push(Input::ViewerLeft(VIEWER_LINK, id)),
             (8, _) => {
                 let (why, report) =
-                    ([Over::Ended, Over::Cut, Over::Left][usize::from(b % 3)], Default::default());
+                    ([Over::Ended, Over::Cut, Over::Left][usize::from(detail_byte % 3)], Default::default());
                 let number = in_flight.filter(|o| o.0 == at).map(|o| o.1.number);
                 let (session, description) = (id, Description::new());
                 inputs.push(Input::Released { streamer: at, session, number, why, description, report });
@@ -69,7 +72,7 @@
             (9, _) => inputs.push(Input::Lost(at)),
             (10, _) => {
                 let mut e = entry(at.0, at.0);
-                e.standing = [Standing::Up, Standing::Draining][usize::from(a % 2)];
+                e.standing = [Standing::Up, Standing::Draining][usize::from(session_byte % 2)];
                 standings[at.0 as usize] = e.standing;
                 inputs.push(Input::List { scope: ListScope::Delta, entries: vec![e] });
             }
@@ -77,7 +80,7 @@
             (11, _) => inputs.push(established(at, Attempt { session: id, number: 0 }, None)),
             _ => {}
         }
-        run_until_idle(&mut director, &mut sessions, &standings, &mut timers, (now, a), inputs)
+        run_until_idle(&mut director, &mut sessions, &standings, &mut timers, (now, session_byte), inputs)
             .map_err(|why| format!("step {step}: {why}"))?;
     }
     let unanswered = sessions.values().filter(|m| !m.answered && !m.viewer_left).count();
