--- a/crates/core/src/director/ledger/mod.rs
+++ b/crates/core/src/director/ledger/mod.rs
@@ -34,19 +34,23 @@
     Established { streamer: StreamerId, since: Micros },
 }
 
+/// A request and its session, from arrival to end.
 #[derive(Debug)]
 struct Session {
     link: ViewerLink,
     class: ClassId,
+    /// What each set-up carries to the streamer; empty once the session is established.
     parcel: Rc<Parcel>,
     state: SessionState,
     rung: usize,
+    /// Number of attempts made.
     attempts: u32,
     /// When the most recent attempt was sent.
     last_sent_at: Micros,
     /// Latest time to send a further attempt, once an earlier one may have run: after that, streamers may no
     /// longer recognise the repeat.
     resend_by: Micros,
+    /// When attempts have to end: the viewer's time limit less [`ANSWER_MARGIN_US`].
     deadline: Micros,
     /// Whether the viewer still waits for the final answer.
     answer_pending: bool,
@@ -104,8 +108,11 @@
 #[derive(Default)]
 pub(in crate::director) struct Ledger {
     sessions: BTreeMap<RequestId, Session>,
+    /// The established sessions of each streamer that has any.
     established_at: BTreeMap<StreamerId, BTreeSet<RequestId>>,
+    /// Viewer connections with pending requests or established sessions.
     links: BTreeMap<ViewerLink, LinkSessions>,
+    /// The streamer list, without streamers that are gone.
     streamers: BTreeMap<StreamerId, Standing>,
     /// Releases of sessions that are not known to be established, oldest first. A session that is being
     /// handed over may end at its streamer before the handover arrives.
@@ -114,6 +121,7 @@
     /// not report rungs again, and if a session were assumed to be at the lowest rung, an attempt to raise it
     /// would in fact step it down.
     inherited_rungs: BTreeMap<RequestId, usize>,
+    /// The lowest rung of each class.
     lowest_rungs: Vec<usize>,
     /// For each class, how long streamers recognise a repeated set-up; `None` if they do not.
     repeat_windows: Vec<Option<Micros>>,
@@ -141,6 +149,7 @@
 }
 
 impl Ledger {
+    /// An empty ledger for these settings.
     pub(in crate::director) fn new(settings: &Settings) -> Self {
         Ledger {
             lowest_rungs: settings.classes.iter().map(|c| c.lowest_rung).collect(),
@@ -168,8 +177,8 @@
     }
 
     /// Gives up a session that belongs to another director from now on. An established session is removed
-    /// without touching it; a viewer that still waits is told that its set-up failed, and the attempt is
-    /// canceled, as when its time is up.
+    /// without a message to its viewer or streamer. A viewer that still waits is told that its set-up failed,
+    /// and the attempt is canceled, as when its time is up.
     fn relinquish_session(&mut self, id: RequestId, out: &mut Outbox) {
         match self.sessions.get(&id).map(|s| s.state) {
             Some(SessionState::Established { streamer, .. }) => {
