--- a/benches/turn.rs
+++ b/benches/turn.rs
@@ -5,29 +5,32 @@
 use stonewharf::net::Node;
 use stonewharf::platform::config::Config;
 
-const TURNS: u32 = 20_000;
+const TURNS_PER_ROUND: u32 = 20_000;
 const ROUNDS: usize = 7;
+const DIRECTORS: usize = 300;
+const MODEL_SECONDS: f64 = 20.0;
 
-fn node(operator: &str, name: &str) -> Node {
+fn start_node(operator_settings: &str, name: &str) -> Node {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let config = include_str!("../examples/config.json").replace("127.0.0.1:2905", "127.0.0.1:0");
-    let (file, own) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.hcl")));
-    std::fs::write(&file, config).expect("written");
-    std::fs::write(&own, operator).expect("written");
-    let config = Config::from_file(&file).expect("right");
+    let (config_file, operator_file) =
+        (folder.join(format!("{name}.json")), folder.join(format!("{name}.hcl")));
+    std::fs::write(&config_file, config).expect("written");
+    std::fs::write(&operator_file, operator_settings).expect("written");
+    let config = Config::from_file(&config_file).expect("right");
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    Node::with_operator(&config, Some(&own), log).expect("starts")
+    Node::with_operator(&config, Some(&operator_file), log).expect("starts")
 }
 
 /// The median time of a turn over some rounds, nanoseconds.
-fn measure(node: &mut Node) -> f64 {
+fn median_turn_ns(node: &mut Node) -> f64 {
     let mut times: Vec<f64> = (0..ROUNDS)
         .map(|_| {
-            let began = Instant::now();
-            for _ in 0..TURNS {
+            let started = Instant::now();
+            for _ in 0..TURNS_PER_ROUND {
                 node.turn(Some(Duration::ZERO)).expect("goes on");
             }
-            began.elapsed().as_nanos() as f64 / f64::from(TURNS)
+            started.elapsed().as_nanos() as f64 / f64::from(TURNS_PER_ROUND)
         })
         .collect();
     times.sort_by(f64::total_cmp);
@@ -35,19 +38,24 @@
 }
 
 fn main() {
-    let mut off = node("", "bench-off");
-    let fleet = "fleet {\n  cluster = \"bench\"\n  listen = \"127.0.0.1:0\"\n}\n";
-    let mut on = node(fleet, "bench-on");
-    let base = measure(&mut off);
-    let with = measure(&mut on);
-    println!("an idle turn, fleet off: {base:.0} ns; on, alone: {with:.0} ns, {:.2} times off", with / base);
-    let began = Instant::now();
-    let plan = stonewharf_model::Plan { directors: 300, seconds: 20.0, ..Default::default() };
-    let m = stonewharf_model::members(&plan, 1);
-    let share = began.elapsed().as_secs_f64() / (300.0 * 20.0);
+    let mut without_fleet = start_node("", "bench-off");
+    let fleet_settings = "fleet {\n  cluster = \"bench\"\n  listen = \"127.0.0.1:0\"\n}\n";
+    let mut with_fleet = start_node(fleet_settings, "bench-on");
+    let without_fleet_ns = median_turn_ns(&mut without_fleet);
+    let with_fleet_ns = median_turn_ns(&mut with_fleet);
     println!(
-        "the fleet of 300 in the model: {:.3} ms of a core a second for each director, {:.0} bytes a second",
-        share * 1e3,
-        m.bytes_per_s
+        "an idle turn, fleet off: {without_fleet_ns:.0} ns; on, alone: {with_fleet_ns:.0} ns, \
+         {:.2} times off",
+        with_fleet_ns / without_fleet_ns
+    );
+    let started = Instant::now();
+    let plan = stonewharf_model::Plan { directors: DIRECTORS, seconds: MODEL_SECONDS, ..Default::default() };
+    let result = stonewharf_model::members(&plan, 1);
+    let core_share = started.elapsed().as_secs_f64() / (DIRECTORS as f64 * MODEL_SECONDS);
+    println!(
+        "the fleet of {DIRECTORS} in the model: {:.3} ms of a core a second for each director, \
+         {:.0} bytes a second",
+        core_share * 1e3,
+        result.bytes_per_s
     );
 }
--- a/crates/core/src/director/counters.rs
+++ b/crates/core/src/director/counters.rs
@@ -1,6 +1,6 @@
 //! What the director takes in, sends and answers, counted for its operators. The core and the transport count
-//! in the same places; whoever shows figures reads them from the [`Figures`] that hold these.
-use super::figures::{Count, Figures};
+//! in the same places; whoever shows metrics reads them from the [`MetricsRegistry`] that hold these.
+use super::metrics::{Counter, MetricsRegistry};
 use std::fmt;
 
 macro_rules! counters {
@@ -8,17 +8,20 @@
         /// Counts since the start. A clone counts in the same places.
         #[derive(Clone, Debug, Default)]
         pub struct Counters {
-            $($(#[$doc])* pub $name: Count,)*
+            $($(#[$doc])* pub $name: Counter,)*
             /// Final answers by class, in the order of the settings.
-            pub operations: Vec<Operations>,
+            pub operations: Vec<ClassOutcomes>,
         }
 
         impl Counters {
-            /// Counters at zero that figures show under their own names, with those of each class.
-            pub fn among(figures: &Figures, classes: &[String]) -> Counters {
+            /// Counters at zero that metrics show under their own names, with those of each class.
+            pub fn registered_in(metrics: &MetricsRegistry, classes: &[String]) -> Counters {
                 Counters {
-                    $($name: figures.count(stringify!($name)),)*
-                    operations: classes.iter().map(|class| Operations::among(figures, class)).collect(),
+                    $($name: metrics.counter(stringify!($name)),)*
+                    operations: classes
+                        .iter()
+                        .map(|class| ClassOutcomes::registered_in(metrics, class))
+                        .collect(),
                 }
             }
         }
@@ -37,19 +40,23 @@
 
 /// Final answers to requests of one class.
 #[derive(Clone, Debug, Default)]
-pub struct Operations {
+pub struct ClassOutcomes {
     /// Answered with a session that stands.
-    pub fulfilled: Count,
+    pub fulfilled: Counter,
     /// Refused.
-    pub throttled: Count,
+    pub throttled: Counter,
     /// Failed.
-    pub faulted: Count,
+    pub faulted: Counter,
 }
 
-impl Operations {
-    fn among(figures: &Figures, class: &str) -> Operations {
-        let count = |what: &str| figures.count(&format!("operations.{class}.{what}"));
-        Operations { fulfilled: count("fulfilled"), throttled: count("throttled"), faulted: count("faulted") }
+impl ClassOutcomes {
+    fn registered_in(metrics: &MetricsRegistry, class: &str) -> ClassOutcomes {
+        let count = |what: &str| metrics.counter(&format!("operations.{class}.{what}"));
+        ClassOutcomes {
+            fulfilled: count("fulfilled"),
+            throttled: count("throttled"),
+            faulted: count("faulted"),
+        }
     }
 }
 
--- a/crates/core/src/director/deadlines.rs
+++ b/crates/core/src/director/deadlines.rs
@@ -5,32 +5,32 @@
 /// Deadlines of any kind, by time. One that no longer matters may stay: whoever set it sees that when it
 /// comes due.
 #[derive(Debug)]
-pub struct Deadlines<D: Ord> {
-    sorted: BTreeSet<(Micros, D)>,
+pub struct Deadlines<K: Ord> {
+    sorted: BTreeSet<(Micros, K)>,
 }
 
-impl<D: Ord> Default for Deadlines<D> {
+impl<K: Ord> Default for Deadlines<K> {
     fn default() -> Self {
         Deadlines { sorted: BTreeSet::new() }
     }
 }
 
-impl<D: Ord> Deadlines<D> {
+impl<K: Ord> Deadlines<K> {
     /// Sets a deadline; the same one at the same time counts once.
-    pub fn set(&mut self, at: Micros, what: D) {
-        self.sorted.insert((at, what));
+    pub fn set(&mut self, at: Micros, deadline: K) {
+        self.sorted.insert((at, deadline));
     }
 
     /// Takes the earliest one that is due.
-    pub fn due(&mut self, now: Micros) -> Option<D> {
+    pub fn pop_due(&mut self, now: Micros) -> Option<K> {
         if self.sorted.first()?.0 > now {
             return None;
         }
-        self.sorted.pop_first().map(|(_, what)| what)
+        self.sorted.pop_first().map(|(_, deadline)| deadline)
     }
 
     /// When the next one is due.
-    pub fn next(&self) -> Option<Micros> {
-        self.sorted.first().map(|d| d.0)
+    pub fn next_due(&self) -> Option<Micros> {
+        self.sorted.first().map(|(at, _)| *at)
     }
 }
--- a/crates/core/src/director/ledger/closed.rs
+++ b/crates/core/src/director/ledger/closed.rs
@@ -19,7 +19,7 @@
                     release_on_both_sides(session.link, id, streamer, out)
                 }
                 SessionState::InFlight { streamer, number, .. } => {
-                    out.outputs.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
+                    out.outputs.push(Output::GiveUp(streamer, Attempt { session: id, number }));
                 }
                 SessionState::Placing | SessionState::Canceling { .. } => {}
             }
@@ -42,14 +42,14 @@
             }
             Input::Unusable(link, id) => {
                 out.counters.unusable += 1;
-                out.outputs.push(Deed::Spurn(link, id));
+                out.outputs.push(Output::Spurn(link, id));
             }
             Input::Playing { link, request, streamer } if !keep_established => {
                 release_on_both_sides(link, request.id, streamer, out);
             }
             Input::Stands { streamer, session, .. } => {
                 out.counters.late_answers += 1;
-                out.outputs.push(Deed::Drop(streamer, session));
+                out.outputs.push(Output::Drop(streamer, session));
             }
             _ => {}
         }
@@ -67,19 +67,19 @@
     }
     out.counters.failed += 1;
     out.count_answer(session.class, |c| &mut c.faulted);
-    out.outputs.push(Deed::Fail(session.link, id));
+    out.outputs.push(Output::Fail(session.link, id));
 }
 
 /// Refuses a request with the hold-off for shutdown.
 fn refuse_request(link: ViewerLink, id: RequestId, class: ClassId, out: &mut Outbox) {
     out.counters.refused += 1;
     out.count_answer(class, |c| &mut c.throttled);
-    out.outputs.push(Deed::Refuse(link, id, SHUTDOWN_HOLD_OFF_US));
+    out.outputs.push(Output::Refuse(link, id, SHUTDOWN_HOLD_OFF_US));
 }
 
 /// Releases a session at its viewer and at its streamer.
 fn release_on_both_sides(link: ViewerLink, id: RequestId, streamer: StreamerId, out: &mut Outbox) {
     out.counters.cut += 1;
-    out.outputs.push(Deed::Release(link, id, Over::Cut));
-    out.outputs.push(Deed::Drop(streamer, id));
+    out.outputs.push(Output::Release(link, id, SessionEnd::Cut));
+    out.outputs.push(Output::Drop(streamer, id));
 }
--- a/crates/core/src/director/ledger/mod.rs
+++ b/crates/core/src/director/ledger/mod.rs
@@ -6,9 +6,9 @@
 mod streamers;
 mod viewers;
 
-use super::counters::{Counters, Operations};
-use super::figures::Count;
+use super::counters::{ClassOutcomes, Counters};
 use super::messages::*;
+use super::metrics::Counter;
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -81,23 +81,23 @@
 #[derive(Default)]
 pub(in crate::director) struct Outbox {
     pub(in crate::director) events: Vec<Event>,
-    pub(in crate::director) outputs: Vec<Deed>,
+    pub(in crate::director) outputs: Vec<Output>,
     pub(in crate::director) counters: Counters,
 }
 
 impl Outbox {
-    /// Counts the end of an established session, and notifies its viewer unless [`Over::Left`] is the reason.
-    fn session_released(&mut self, link: ViewerLink, id: RequestId, reason: Over) {
+    /// Counts the end of an established session, and notifies its viewer unless [`SessionEnd::Left`] is the reason.
+    fn session_released(&mut self, link: ViewerLink, id: RequestId, reason: SessionEnd) {
         match reason {
-            Over::Ended => self.counters.ended += 1,
-            Over::Cut => self.counters.cut += 1,
-            Over::Left => return self.counters.viewer_ended += 1,
+            SessionEnd::Ended => self.counters.ended += 1,
+            SessionEnd::Cut => self.counters.cut += 1,
+            SessionEnd::Left => return self.counters.viewer_ended += 1,
         }
-        self.outputs.push(Deed::Release(link, id, reason));
+        self.outputs.push(Output::Release(link, id, reason));
     }
 
     /// Increments one of the final-answer counters of a class.
-    fn count_answer(&mut self, class: ClassId, counter: impl Fn(&mut Operations) -> &mut Count) {
+    fn count_answer(&mut self, class: ClassId, counter: impl Fn(&mut ClassOutcomes) -> &mut Counter) {
         if let Some(of_class) = self.counters.operations.get_mut(class.0) {
             *counter(of_class) += 1;
         }
@@ -116,7 +116,7 @@
     streamers: BTreeMap<StreamerId, Standing>,
     /// Releases of sessions that are not known to be established, oldest first. A session that is being
     /// handed over may end at its streamer before the handover arrives.
-    early_releases: VecDeque<(RequestId, StreamerId, Over)>,
+    early_releases: VecDeque<(RequestId, StreamerId, SessionEnd)>,
     /// Rungs of sessions that are still to be handed over, as recorded by the previous process. Streamers do
     /// not report rungs again, and if a session were assumed to be at the lowest rung, an attempt to raise it
     /// would in fact step it down.
@@ -247,7 +247,7 @@
             Input::Undelivered(id) => self.handle_undelivered_answer(id, out),
             Input::Unread(id) => {
                 out.counters.undelivered += u64::from(self.contains(id));
-                self.end_on_both_sides(id, Over::Cut, Outcome::Canceled, out);
+                self.end_on_both_sides(id, SessionEnd::Cut, Outcome::Canceled, out);
             }
             Input::Stands { streamer, session, number, description } => {
                 self.handle_established(now, streamer, session, number, description, out);
@@ -262,11 +262,11 @@
             }
             Input::Unsent(attempt, why) => {
                 let outcome = match why {
-                    Unsent::NoConnection => Outcome::ConnectError,
-                    Unsent::Withdrawn => Outcome::Ignored,
+                    UnsentReason::NoConnection => Outcome::ConnectError,
+                    UnsentReason::Withdrawn => Outcome::Ignored,
                 };
-                out.counters.no_connection += u64::from(why == Unsent::NoConnection);
-                out.counters.withdrawn += u64::from(why == Unsent::Withdrawn);
+                out.counters.no_connection += u64::from(why == UnsentReason::NoConnection);
+                out.counters.withdrawn += u64::from(why == UnsentReason::Withdrawn);
                 self.end_attempt_locally(attempt, Some(outcome), out);
             }
             Input::GaveUp(attempt) => self.end_attempt_locally(attempt, None, out),
@@ -279,7 +279,7 @@
                 self.end_attempt_locally(attempt, Some(Outcome::Garbled), out);
             }
             Input::Released { streamer, session, number, why, description, report } => {
-                if why == Over::Ended && !description.is_empty() {
+                if why == SessionEnd::Ended && !description.is_empty() {
                     self.handle_immediate_end(session, number, streamer, description, report, out);
                 } else {
                     self.handle_release(streamer, session, number, why, report, out);
@@ -305,9 +305,9 @@
                 out.counters.probes_failed += u64::from(outcome != Outcome::Ok);
                 out.events.push(Event::Probed { streamer, outcome, report });
             }
-            Input::Due(Due::Timer(tag)) => out.events.push(Event::Timer(tag)),
-            Input::Due(Due::Attempt(attempt)) => self.handle_attempt_timeout(attempt, out),
-            Input::Due(Due::Answer(id)) => self.fail_unanswered(id, out),
+            Input::Due(DeadlineKind::Timer(tag)) => out.events.push(Event::Timer(tag)),
+            Input::Due(DeadlineKind::Attempt(attempt)) => self.handle_attempt_timeout(attempt, out),
+            Input::Due(DeadlineKind::Answer(id)) => self.fail_unanswered(id, out),
             Input::Hurry => {
                 let pending: Vec<_> = self.links.values().flat_map(|l| l.pending.iter().copied()).collect();
                 pending.into_iter().for_each(|id| self.fail_unanswered(id, out));
@@ -326,21 +326,21 @@
                 session.rung = rung;
                 if let SessionState::Established { streamer, .. } = session.state {
                     out.counters.rung_changes += 1;
-                    out.outputs.push(Deed::Rung(streamer, request, rung));
+                    out.outputs.push(Output::Rung(streamer, request, rung));
                 }
             }
             Action::Refuse { request, hold_off_us } => {
                 if let Some((link, class)) = self.remove_unanswered(request) {
                     out.counters.refused += 1;
                     out.count_answer(class, |c| &mut c.throttled);
-                    out.outputs.push(Deed::Refuse(link, request, hold_off_us));
+                    out.outputs.push(Output::Refuse(link, request, hold_off_us));
                 }
             }
             Action::EndFailed(request) => {
                 if let Some((link, class)) = self.remove_unanswered(request) {
                     out.counters.failed += 1;
                     out.count_answer(class, |c| &mut c.faulted);
-                    out.outputs.push(Deed::Fail(link, request));
+                    out.outputs.push(Output::Fail(link, request));
                 }
             }
             Action::Move(request) => {
@@ -351,19 +351,19 @@
                 };
                 let (link, streamer) = (*link, *streamer);
                 out.counters.moved += 1;
-                out.outputs.push(Deed::MoveOff(link, request));
-                out.outputs.push(Deed::Drop(streamer, request));
+                out.outputs.push(Output::MoveOff(link, request));
+                out.outputs.push(Output::Drop(streamer, request));
                 self.remove_session(request, streamer, Outcome::Canceled, LoadReport::default(), out);
             }
             Action::Probe(streamer) => {
                 out.counters.probes += 1;
-                out.outputs.push(Deed::Probe(streamer));
+                out.outputs.push(Output::Probe(streamer));
             }
             Action::Timer { after_us, tag } => {
-                out.outputs.push(Deed::Wake(now.saturating_add(after_us), Due::Timer(tag)));
+                out.outputs.push(Output::Wake(now.saturating_add(after_us), DeadlineKind::Timer(tag)));
             }
             Action::Subscribe => {} // discovery is always subscribed to
-            Action::Log(line) => out.outputs.push(Deed::Log(line)),
+            Action::Log(line) => out.outputs.push(Output::Log(line)),
         }
     }
 }
--- a/crates/core/src/director/ledger/streamers.rs
+++ b/crates/core/src/director/ledger/streamers.rs
@@ -53,9 +53,9 @@
         let until = now.saturating_add(try_for_us).min(session.deadline);
         let attempt = Attempt { session: id, number };
         let (rung, parcel) = (session.rung, Rc::clone(&session.parcel));
-        out.outputs.push(Deed::Wake(until, Due::Attempt(attempt)));
+        out.outputs.push(Output::Wake(until, DeadlineKind::Attempt(attempt)));
         let send_by = session.resend_by;
-        out.outputs.push(Deed::SetUp(SetUp { streamer, attempt, rung, until, send_by, parcel }));
+        out.outputs.push(Output::SetUp(SetUp { streamer, attempt, rung, until, send_by, parcel }));
     }
 
     /// Cancels an attempt whose time is up.
@@ -65,7 +65,7 @@
             SessionState::InFlight { streamer, number, .. } if number == attempt.number => {
                 out.counters.timed_out += 1;
                 session.state = SessionState::Canceling { streamer, number, outcome: Outcome::TimedOut };
-                out.outputs.push(Deed::GiveUp(streamer, attempt));
+                out.outputs.push(Output::GiveUp(streamer, attempt));
             }
             _ => {}
         }
@@ -95,8 +95,8 @@
                 self.established_at.entry(streamer).or_default().insert(id);
                 out.counters.served += 1;
                 out.count_answer(class, |c| &mut c.fulfilled);
-                out.outputs.push(Deed::Answer(link, id, description));
-                out.outputs.push(Deed::Attend(streamer));
+                out.outputs.push(Output::Answer(link, id, description));
+                out.outputs.push(Output::Attend(streamer));
                 let latency_us = now.saturating_sub(since);
                 out.events.push(Event::Started { request: id, streamer, latency_us });
                 self.apply_early_release(id, streamer, out);
@@ -112,7 +112,7 @@
             }
             _ => {
                 out.counters.late_answers += 1;
-                out.outputs.push(Deed::Drop(streamer, id));
+                out.outputs.push(Output::Drop(streamer, id));
             }
         }
     }
@@ -121,19 +121,21 @@
     fn apply_early_release(&mut self, id: RequestId, streamer: StreamerId, out: &mut Outbox) {
         let Some(reason) = self.take_early_release(id, streamer) else { return };
         match reason {
-            Over::Ended => self.end_on_both_sides(id, Over::Ended, Outcome::Ok, out),
-            Over::Cut | Over::Left => self.end_on_both_sides(id, Over::Cut, Outcome::Reset, out),
+            SessionEnd::Ended => self.end_on_both_sides(id, SessionEnd::Ended, Outcome::Ok, out),
+            SessionEnd::Cut | SessionEnd::Left => {
+                self.end_on_both_sides(id, SessionEnd::Cut, Outcome::Reset, out)
+            }
         }
     }
 
     /// Removes and returns the release that came before the session was known to be established.
-    pub(super) fn take_early_release(&mut self, id: RequestId, streamer: StreamerId) -> Option<Over> {
+    pub(super) fn take_early_release(&mut self, id: RequestId, streamer: StreamerId) -> Option<SessionEnd> {
         let at = self.early_releases.iter().position(|early| (early.0, early.1) == (id, streamer))?;
         self.early_releases.remove(at).map(|early| early.2)
     }
 
     /// Keeps a release of a session that is not known to be established; drops the oldest when full.
-    fn keep_early_release(&mut self, id: RequestId, streamer: StreamerId, reason: Over) {
+    fn keep_early_release(&mut self, id: RequestId, streamer: StreamerId, reason: SessionEnd) {
         if self.early_releases.len() >= MAX_EARLY_RELEASES {
             self.early_releases.pop_front();
         }
@@ -144,14 +146,14 @@
     pub(super) fn end_on_both_sides(
         &mut self,
         id: RequestId,
-        reason: Over,
+        reason: SessionEnd,
         outcome: Outcome,
         out: &mut Outbox,
     ) {
         let Some(session) = self.sessions.get(&id) else { return };
         let SessionState::Established { streamer, .. } = session.state else { return };
         out.session_released(session.link, id, reason);
-        out.outputs.push(Deed::Drop(streamer, id));
+        out.outputs.push(Output::Drop(streamer, id));
         self.remove_session(id, streamer, outcome, LoadReport::default(), out);
     }
 
@@ -253,11 +255,11 @@
                 out.counters.served += 1;
                 out.count_answer(*class, |c| &mut c.fulfilled);
                 out.counters.ended += 1;
-                out.outputs.push(Deed::Answer(*link, id, description));
-                out.outputs.push(Deed::Release(*link, id, Over::Ended));
+                out.outputs.push(Output::Answer(*link, id, description));
+                out.outputs.push(Output::Release(*link, id, SessionEnd::Ended));
                 self.remove_session(id, from, Outcome::Ok, report, out);
             }
-            _ => self.handle_release(from, id, number, Over::Ended, report, out),
+            _ => self.handle_release(from, id, number, SessionEnd::Ended, report, out),
         }
     }
 
@@ -267,7 +269,7 @@
         from: StreamerId,
         id: RequestId,
         number: Option<u32>,
-        reason: Over,
+        reason: SessionEnd,
         report: LoadReport,
         out: &mut Outbox,
     ) {
@@ -278,9 +280,9 @@
         match session.state {
             SessionState::Established { streamer, .. } if streamer == from => {
                 let outcome = match reason {
-                    Over::Ended => Outcome::Ok,
-                    Over::Cut => Outcome::Reset,
-                    Over::Left => Outcome::Canceled,
+                    SessionEnd::Ended => Outcome::Ok,
+                    SessionEnd::Cut => Outcome::Reset,
+                    SessionEnd::Left => Outcome::Canceled,
                 };
                 out.session_released(session.link, id, reason);
                 self.remove_session(id, streamer, outcome, report, out);
@@ -335,8 +337,8 @@
                 continue;
             }
             out.counters.cut += 1;
-            out.outputs.push(Deed::Release(session.link, id, Over::Cut));
-            out.outputs.push(Deed::Drop(streamer, id)); // in case it comes back with the session
+            out.outputs.push(Output::Release(session.link, id, SessionEnd::Cut));
+            out.outputs.push(Output::Drop(streamer, id)); // in case it comes back with the session
             self.remove_session(id, streamer, Outcome::Reset, LoadReport::default(), out);
         }
     }
--- a/crates/core/src/director/ledger/viewers.rs
+++ b/crates/core/src/director/ledger/viewers.rs
@@ -41,7 +41,7 @@
         self.update_link(link, |l| {
             l.pending.insert(id);
         });
-        out.outputs.push(Deed::Wake(deadline.saturating_add(ANSWER_GRACE_US), Due::Answer(id)));
+        out.outputs.push(Output::Wake(deadline.saturating_add(ANSWER_GRACE_US), DeadlineKind::Answer(id)));
         out.events.push(Event::Inbound(request));
     }
 
@@ -62,7 +62,7 @@
             }
             _ => {}
         }
-        out.outputs.push(Deed::Spurn(link, id));
+        out.outputs.push(Output::Spurn(link, id));
     }
 
     /// Takes over a session that already plays at a streamer. It is released at once if the streamer has
@@ -85,7 +85,7 @@
         }
         if self.streamers.get(&streamer).is_none_or(|s| *s == Standing::Gone) {
             out.counters.cut += 1;
-            out.outputs.push(Deed::Release(link, id, Over::Cut));
+            out.outputs.push(Output::Release(link, id, SessionEnd::Cut));
             return;
         }
         let inherited_rung = self.inherited_rungs.remove(&id);
@@ -114,7 +114,7 @@
             let (kind, value) = (NoteKind::Rung, rung as f64);
             out.events.push(Event::Note { request: id, streamer, kind, value });
         }
-        out.outputs.push(Deed::Attend(streamer));
+        out.outputs.push(Output::Attend(streamer));
     }
 
     /// Ends a session or cancels a pending set-up at the viewer's request. An established session may be
@@ -126,7 +126,7 @@
         };
         if let SessionState::Established { streamer, .. } = session.state {
             out.counters.viewer_ended += 1;
-            out.outputs.push(Deed::Drop(streamer, id));
+            out.outputs.push(Output::Drop(streamer, id));
             return self.remove_session(id, streamer, Outcome::Canceled, LoadReport::default(), out);
         }
         if session.answer_pending {
@@ -143,7 +143,7 @@
             return;
         };
         out.counters.undelivered += 1;
-        out.outputs.push(Deed::Drop(streamer, id));
+        out.outputs.push(Output::Drop(streamer, id));
         self.remove_session(id, streamer, Outcome::Canceled, LoadReport::default(), out);
     }
 
@@ -154,7 +154,7 @@
         match session.state {
             SessionState::InFlight { streamer, number, .. } => {
                 session.state = SessionState::Canceling { streamer, number, outcome: Outcome::Canceled };
-                out.outputs.push(Deed::GiveUp(streamer, Attempt { session: id, number }));
+                out.outputs.push(Output::GiveUp(streamer, Attempt { session: id, number }));
             }
             SessionState::Placing => {
                 self.sessions.remove(&id);
@@ -169,7 +169,7 @@
         let Some(session) = self.sessions.get(&id).filter(|s| s.answer_pending) else { return };
         out.counters.failed += 1;
         out.count_answer(session.class, |c| &mut c.faulted);
-        out.outputs.push(Deed::Fail(session.link, id));
+        out.outputs.push(Output::Fail(session.link, id));
         self.clear_pending_answer(id);
         self.cancel_request(id, out);
     }
--- a/crates/core/src/director/messages.rs
+++ b/crates/core/src/director/messages.rs
@@ -32,7 +32,7 @@
 
 /// Why an attempt never left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsent {
+pub enum UnsentReason {
     /// No connection to the streamer came up.
     NoConnection,
     /// The streamer was no longer up when the attempt's turn came, or no descriptor was left for it.
@@ -41,7 +41,7 @@
 
 /// Why a session that stood is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum SessionEnd {
     /// It came to its end.
     Ended,
     /// It was cut: by its streamer, or since its streamer is lost.
@@ -52,7 +52,7 @@
 
 /// A deadline of the ledger's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum DeadlineKind {
     /// The module's timer.
     Timer(TimerTag),
     /// The time of an attempt is up.
@@ -125,7 +125,7 @@
         report: LoadReport,
     },
     /// Not a byte of this attempt has left, and none will.
-    Unsent(Attempt, Unsent),
+    Unsent(Attempt, UnsentReason),
     /// The give-up of this attempt has been written, or its connection was closed.
     GaveUp(Attempt),
     /// The connection broke on which this attempt was out.
@@ -141,7 +141,7 @@
         /// The attempt that is open on the connection of the release, if any.
         number: Option<u32>,
         /// Why.
-        why: Over,
+        why: SessionEnd,
         /// What the viewer is to be told of a session that ended as it began; else empty.
         description: Description,
         /// The load report that came along.
@@ -183,7 +183,7 @@
     /// Nothing may wait any longer: what is open is given up and answered.
     Hurry,
     /// A deadline of the ledger's has come.
-    Due(Due),
+    Due(DeadlineKind),
 }
 
 /// A set-up that is passed on to a streamer.
@@ -206,7 +206,7 @@
 
 /// What the ledger wants done, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum Output {
     /// Answer: the session stands.
     Answer(ViewerLink, RequestId, Description),
     /// Answer: refused; the viewer should stay away for so long.
@@ -216,7 +216,7 @@
     /// Answer: failed, since the set-up could not be used; that speaks against its connection.
     Spurn(ViewerLink, RequestId),
     /// Tell the viewer that its session is over.
-    Release(ViewerLink, RequestId, Over),
+    Release(ViewerLink, RequestId, SessionEnd),
     /// Tell the viewer to come again.
     MoveOff(ViewerLink, RequestId),
     /// Pass the set-up on to a streamer.
@@ -232,7 +232,7 @@
     /// A session stands there: what concerns it must be able to come in.
     Attend(StreamerId),
     /// Set a deadline.
-    Wake(Micros, Due),
+    Wake(Micros, DeadlineKind),
     /// A line for the operators.
     Log(String),
 }
--- a/crates/core/src/director/figures.rs
+++ b/crates/core/src/director/metrics.rs
@@ -12,63 +12,63 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// What stands before every name.
-const PREFIX: &str = "svc";
+const NAME_PREFIX: &str = "svc";
 
 /// One count, from 0. A clone counts in the same place.
 #[derive(Clone, Debug, Default)]
-pub struct Count(Arc<AtomicU64>);
+pub struct Counter(Arc<AtomicU64>);
 
-impl Count {
+impl Counter {
     /// What has been counted.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-impl AddAssign<u64> for Count {
-    fn add_assign(&mut self, more: u64) {
-        self.0.fetch_add(more, Ordering::Relaxed);
+impl AddAssign<u64> for Counter {
+    fn add_assign(&mut self, increment: u64) {
+        self.0.fetch_add(increment, Ordering::Relaxed);
     }
 }
 
 /// All figures of one director.
-pub struct Figures {
+pub struct MetricsRegistry {
     registry: Registry<Key, AtomicStorage>,
 }
 
-impl Default for Figures {
+impl Default for MetricsRegistry {
     fn default() -> Self {
-        Figures { registry: Registry::atomic() }
+        MetricsRegistry { registry: Registry::atomic() }
     }
 }
 
-impl Figures {
+impl MetricsRegistry {
     /// The count of a name; the same one for the same name.
-    pub fn count(&self, name: &str) -> Count {
+    pub fn counter(&self, name: &str) -> Counter {
         let key = Key::from_name(name.to_owned());
-        self.registry.get_or_create_counter(&key, |place| Count(Arc::clone(place)))
+        self.registry.get_or_create_counter(&key, |cell| Counter(Arc::clone(cell)))
     }
 
     /// States a level as it is now.
-    pub fn level(&self, name: &'static str, value: usize) {
+    pub fn set_gauge(&self, name: &'static str, value: usize) {
         let key = Key::from_static_name(name);
-        self.registry.get_or_create_gauge(&key, |place| {
-            place.store((value as f64).to_bits(), Ordering::Relaxed);
+        self.registry.get_or_create_gauge(&key, |gauge| {
+            gauge.store((value as f64).to_bits(), Ordering::Relaxed);
         });
     }
 
     /// All figures as lines `svc.NAME=VALUE`, whole numbers, by name.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut all = BTreeMap::new();
-        self.registry.visit_counters(|key, place| {
-            all.insert(key.name().to_owned(), place.load(Ordering::Relaxed));
+        self.registry.visit_counters(|key, cell| {
+            all.insert(key.name().to_owned(), cell.load(Ordering::Relaxed));
         });
-        self.registry.visit_gauges(|key, place| {
-            all.insert(key.name().to_owned(), f64::from_bits(place.load(Ordering::Relaxed)) as u64);
+        self.registry.visit_gauges(|key, cell| {
+            all.insert(key.name().to_owned(), f64::from_bits(cell.load(Ordering::Relaxed)) as u64);
         });
         let mut text = String::new();
         for (name, value) in all {
-            let _ = writeln!(text, "{PREFIX}.{name}={value}"); // writing into a string does not fail
+            let _ = writeln!(text, "{NAME_PREFIX}.{name}={value}"); // writing into a string does not fail
         }
         text
     }
--- a/crates/core/src/director/mod.rs
+++ b/crates/core/src/director/mod.rs
@@ -2,15 +2,15 @@
 //! no clock, so that any platform's front can be set before it.
 mod counters;
 mod deadlines;
-mod duty;
-mod figures;
 mod ledger;
+mod lifecycle;
 mod messages;
+mod metrics;
 
-pub use counters::{Counters, Operations};
+pub use self::metrics::{Counter, MetricsRegistry};
+pub use counters::{ClassOutcomes, Counters};
 pub use deadlines::Deadlines;
-pub use duty::{Close, Duty, DutyError, Leave, Stance};
-pub use figures::{Count, Figures};
+pub use lifecycle::{ClientActions, CloseScope, Lifecycle, LifecycleError, LifecycleState};
 pub use messages::*;
 
 use crate::interface::*;
@@ -30,7 +30,7 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         let ledger = Ledger::new(&settings);
         let counters = Counters {
-            operations: settings.classes.iter().map(|_| Operations::default()).collect(),
+            operations: settings.classes.iter().map(|_| ClassOutcomes::default()).collect(),
             ..Counters::default()
         };
         let outbox = Outbox { counters, ..Outbox::default() };
@@ -38,18 +38,18 @@
     }
 
     /// This director with a subsystem's limits on the module's choice, from its start on.
-    pub fn limited(self, limits: Box<dyn Limits>) -> Self {
+    pub fn with_limits(self, limits: Box<dyn Limits>) -> Self {
         Director { controller: self.controller.limited(limits), ..self }
     }
 
     /// This director, counting in these counters from its start on.
-    pub fn counting(mut self, counters: Counters) -> Self {
+    pub fn with_counters(mut self, counters: Counters) -> Self {
         self.outbox.counters = counters;
         self
     }
 
     /// One turn: books all that has come in, hands it to the module in one go, returns what is to be done.
-    pub fn turn(&mut self, now: Micros, inputs: impl IntoIterator<Item = Input>) -> Vec<Deed> {
+    pub fn turn(&mut self, now: Micros, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         for input in inputs {
             self.ledger.handle_input(now, input, &mut self.outbox);
         }
@@ -67,28 +67,28 @@
     }
 
     /// Ends everything at the director's own end; what stands is left standing where an heir takes it over.
-    pub fn close(&mut self, bequeath: bool) -> Vec<Deed> {
-        self.ledger.close(bequeath, &mut self.outbox);
+    pub fn close(&mut self, hand_over: bool) -> Vec<Output> {
+        self.ledger.close(hand_over, &mut self.outbox);
         self.outbox.events.clear();
         std::mem::take(&mut self.outbox.outputs)
     }
 
     /// One turn after [`Director::close`]: requests are refused at once, and nothing is begun.
-    pub fn turn_after_close(&mut self, inputs: Vec<Input>, bequeath: bool) -> Vec<Deed> {
+    pub fn turn_after_close(&mut self, inputs: Vec<Input>, hand_over: bool) -> Vec<Output> {
         inputs
             .into_iter()
-            .for_each(|input| self.ledger.handle_input_after_close(input, bequeath, &mut self.outbox));
+            .for_each(|input| self.ledger.handle_input_after_close(input, hand_over, &mut self.outbox));
         std::mem::take(&mut self.outbox.outputs)
     }
 
     /// What is left to an heir: the sessions that stand, and their rungs.
-    pub fn estate(&self) -> Vec<(RequestId, usize)> {
+    pub fn sessions_to_hand_over(&self) -> Vec<(RequestId, usize)> {
         self.ledger.session_rungs()
     }
 
     /// Takes what the process before this one left, for when its sessions are handed over.
-    pub fn inherit(&mut self, estate: Vec<(RequestId, usize)>) {
-        self.ledger.restore_rungs(estate);
+    pub fn set_inherited_rungs(&mut self, rungs: Vec<(RequestId, usize)>) {
+        self.ledger.restore_rungs(rungs);
     }
 
     /// Whether a session is on the books: a request that is open, or one that stands.
@@ -97,27 +97,27 @@
     }
 
     /// How many sessions stand at a streamer.
-    pub fn standing_at(&self, streamer: StreamerId) -> usize {
+    pub fn sessions_at(&self, streamer: StreamerId) -> usize {
         self.ledger.established_at(streamer)
     }
 
     /// Requests that wait for their final answer on a connection, and sessions that stand from it.
-    pub fn on_link(&self, link: ViewerLink) -> (usize, usize) {
+    pub fn requests_and_sessions_on(&self, link: ViewerLink) -> (usize, usize) {
         self.ledger.counts_on_link(link)
     }
 
     /// How many requests wait for their final answer.
-    pub fn owed(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.ledger.pending_requests()
     }
 
     /// Requests taken that have not come to their end: unanswered ones, and sessions that stand.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.ledger.open_requests()
     }
 
     /// Streamers in the list, and those of them that get no set-ups now but for trials.
-    pub fn listed(&self) -> (usize, usize) {
+    pub fn streamer_counts(&self) -> (usize, usize) {
         self.controller.listed()
     }
 
--- a/crates/model/src/run/between.rs
+++ b/crates/model/src/run/between.rs
@@ -15,10 +15,10 @@
         deeds.into_iter().for_each(|deed| self.carry_out(node, deed));
     }
 
-    pub(super) fn carry_out(&mut self, node: usize, deed: Deed) {
+    pub(super) fn carry_out(&mut self, node: usize, deed: Output) {
         let epoch = self.nodes[node].epoch;
         match deed {
-            Deed::Answer(_, id, _) => {
+            Output::Answer(_, id, _) => {
                 self.answered(id);
                 self.out.served += 1;
                 let Some(call) = self.calls.get_mut(&id) else { return };
@@ -26,14 +26,14 @@
                 let until = self.viewers[call.viewer].until.max(self.now + 1);
                 self.put(until, Event::Done(id));
             }
-            Deed::Refuse(_, id, hold_off) => {
+            Output::Refuse(_, id, hold_off) => {
                 self.answered(id);
                 self.out.refused += 1;
                 let Some(call) = self.calls.remove(&id) else { return };
                 self.broken.paid_twice += u64::from(call.may_have_run && self.paid(call.viewer));
                 self.again(call.viewer, hold_off);
             }
-            Deed::Fail(_, id) | Deed::Spurn(_, id) => {
+            Output::Fail(_, id) | Output::Spurn(_, id) => {
                 self.answered(id);
                 self.out.failed += 1;
                 let Some(call) = self.calls.get(&id) else { return };
@@ -45,32 +45,32 @@
                     self.again(viewer, 0);
                 }
             }
-            Deed::Release(_, id, why) => {
+            Output::Release(_, id, why) => {
                 self.unbook(id);
-                if let Some(call) = self.calls.remove(&id).filter(|_| why == Over::Cut) {
+                if let Some(call) = self.calls.remove(&id).filter(|_| why == SessionEnd::Cut) {
                     self.again(call.viewer, 0);
                 }
             }
-            Deed::MoveOff(_, id) => {
+            Output::MoveOff(_, id) => {
                 self.unbook(id);
                 if let Some(call) = self.calls.remove(&id) {
                     self.again(call.viewer, 0);
                 }
             }
-            Deed::SetUp(stonewharf_core::director::SetUp { streamer, attempt, rung, .. }) => {
+            Output::SetUp(stonewharf_core::director::SetUp { streamer, attempt, rung, .. }) => {
                 self.sent(node, streamer.0 as usize, attempt, rung);
             }
-            Deed::GiveUp(_, attempt) => {
+            Output::GiveUp(_, attempt) => {
                 let call = self.calls.get_mut(&attempt.session);
                 let out = call.and_then(|c| c.out.take_if(|o| o.1 == attempt.number));
                 let input = match out {
-                    Some((_, _, true)) => Input::Unsent(attempt, Unsent::NoConnection),
+                    Some((_, _, true)) => Input::Unsent(attempt, UnsentReason::NoConnection),
                     _ => Input::GaveUp(attempt),
                 };
                 self.soon(0, Event::Hear(node, epoch, input));
             }
-            Deed::Drop(_, id) => self.unbook(id),
-            Deed::Rung(_, id, rung) => {
+            Output::Drop(_, id) => self.unbook(id),
+            Output::Rung(_, id, rung) => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
                 let class = self.viewers[call.viewer].class;
                 let floor = self.world.settings.classes[class.0].lowest_rung;
@@ -81,10 +81,10 @@
                     self.world.book(at, kb, 0);
                 }
             }
-            Deed::Probe(streamer) => self.probe(node, streamer),
-            Deed::Wake(at, due) => self.put(at.max(self.now), Event::Hear(node, epoch, Input::Due(due))),
-            Deed::Log(line) if line.starts_with("hall ") => self.found(node),
-            Deed::Attend(_) | Deed::Log(_) => {}
+            Output::Probe(streamer) => self.probe(node, streamer),
+            Output::Wake(at, due) => self.put(at.max(self.now), Event::Hear(node, epoch, Input::Due(due))),
+            Output::Log(line) if line.starts_with("hall ") => self.found(node),
+            Output::Attend(_) | Output::Log(_) => {}
         }
     }
 
@@ -119,7 +119,7 @@
         let wait = if refused { SECOND / 1_000 } else { DIAL };
         let contact = Input::Contact { streamer: StreamerId(streamer as u32), up: false };
         self.soon(wait, Event::Hear(node, epoch, contact));
-        self.soon(wait, Event::Hear(node, epoch, Input::Unsent(attempt, Unsent::NoConnection)));
+        self.soon(wait, Event::Hear(node, epoch, Input::Unsent(attempt, UnsentReason::NoConnection)));
     }
 
     pub(super) fn set_up(&mut self, node: usize, epoch: u32, streamer: usize, attempt: Attempt, rung: usize) {
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -14,7 +14,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::Rc;
-use stonewharf_core::director::{Attempt, Deed, Director, Input, Over, Parcel, Unsent, ViewerLink};
+use stonewharf_core::director::{
+    Attempt, Director, Input, Output, Parcel, SessionEnd, UnsentReason, ViewerLink,
+};
 use stonewharf_core::{
     ClassId, Effect, Entry, ListScope, LoadReport, Micros, NoteKind, Outcome as Ending, Request, RequestId,
     SettingsError, StreamerId, TitleId, ViewerId, ZoneId,
@@ -258,7 +260,7 @@
         let halls = Halls::new(self.scenario.operator.clone(), &settings, self.now, class, zone);
         let halls = SharedHalls::new(halls);
         let core = Director::new(settings, self.dice.random(), self.now)?;
-        Ok((core.limited(Box::new(halls.clone())), halls))
+        Ok((core.with_limits(Box::new(halls.clone())), halls))
     }
 
     fn put(&mut self, at: Micros, event: Event) {
--- a/crates/model/src/run/viewers.rs
+++ b/crates/model/src/run/viewers.rs
@@ -104,7 +104,7 @@
         let from = StreamerId(streamer as u32);
         self.unbook(id);
         if self.nodes[node].epoch == epoch && self.reaches(self.nodes[node].hall, streamer) {
-            let (why, description) = (Over::Ended, Vec::new());
+            let (why, description) = (SessionEnd::Ended, Vec::new());
             let input =
                 Input::Released { streamer: from, session: id, number: None, why, description, report };
             self.turn(node, input);
--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -15,7 +15,7 @@
 use super::streamers::Streamers;
 use super::viewers::{self, Viewers};
 use super::{Node, estate, lives};
-use crate::director::{Counters, Director, Duty, Figures};
+use crate::director::{Counters, Director, Lifecycle, MetricsRegistry};
 use crate::interface::{Micros, Settings};
 use crate::platform::config::Config;
 use crate::settings::Vocabulary;
@@ -131,18 +131,18 @@
         };
         let lasting = lasting(&settings, &names, fleet.as_ref().map(|(fleet, _)| fleet), outlives, now);
         let drains = Drains::new(&settings);
-        let figures = Figures::default();
-        let counters = Counters::among(&figures, names.classes());
-        let mut director = Director::new(settings, config.seed()?, now)?.counting(counters.clone());
+        let figures = MetricsRegistry::default();
+        let counters = Counters::registered_in(&figures, names.classes());
+        let mut director = Director::new(settings, config.seed()?, now)?.with_counters(counters.clone());
         let drains = agrees.as_ref().map(|_| SharedDrains::new(drains));
         if let Some(drains) = &drains {
-            director = director.limited(Box::new(drains.clone()));
+            director = director.with_limits(Box::new(drains.clone()));
         }
         if let Some(hand) = &lasting {
-            director = director.limited(Box::new(hand.clone()));
+            director = director.with_limits(Box::new(hand.clone()));
         }
         if let Some((_, halls)) = &operator {
-            director = director.limited(Box::new(halls.clone()));
+            director = director.with_limits(Box::new(halls.clone()));
         }
         let poll = Poll::new()?;
         let (deadlines, inputs, heard) = Default::default();
@@ -193,7 +193,7 @@
         };
         let viewers = Viewers::on(&mut shared, listener, sockets / 2)
             .map_err(|why| NodeError::Listen(config.listen, why))?;
-        let duty = Duty::new(grace_us(carriage.longest_us()), config.inherited.is_some());
+        let duty = Lifecycle::new(grace_us(carriage.longest_us()), config.inherited.is_some());
         let streamers = Streamers::new(carriage.clone(), sockets / 2);
         let bulletin = Bulletin::new(config.bulletin, config.known.no);
         let mut node = Node {
--- a/src/net/duty.rs
+++ b/src/net/duty.rs
@@ -1,9 +1,9 @@
 //! What the director's duty towards its clients means on the sockets: calls at the door, sending viewers
-//! away, and the end. What follows from what is decided in the core (`director::Duty`).
+//! away, and the end. What follows from what is decided in the core (`director::Lifecycle`).
 use super::poll::Token;
 use super::shared::Due;
 use super::{Node, estate, signals};
-use crate::director::{Close, Deed, Input, Leave};
+use crate::director::{ClientActions, CloseScope, Input, Output};
 use crate::interface::{Micros, RequestId};
 use crate::platform::door::Call;
 use slog::{info, warn};
@@ -51,10 +51,10 @@
     /// Answers a call at the operators' door.
     pub(super) fn called(&mut self, token: Token, call: Call) {
         let (status, body) = match call {
-            Call::Ready if self.duty.takes_clients() => (200, "takes clients\n".to_owned()),
+            Call::Ready if self.duty.accepts_clients() => (200, "takes clients\n".to_owned()),
             Call::Ready => (503, "takes no clients\n".to_owned()),
             Call::Vars => (200, self.vars()),
-            Call::LameDuck(on) => match self.duty.lame(self.shared.now, on) {
+            Call::LameDuck(on) => match self.duty.set_lame_duck(self.shared.now, on) {
                 Ok(()) => {
                     info!(self.shared.log, "{}", if on { "sends clients away" } else { "takes clients" });
                     self.look_at_duty();
@@ -70,24 +70,24 @@
 
     /// The figures as they are now.
     fn vars(&self) -> String {
-        let (listed, avoided) = self.director.listed();
-        self.figures.level("open_requests", self.director.open());
-        self.figures.level("registry_entries", listed);
-        self.figures.level("out_of_rotation", avoided);
-        self.figures.text()
+        let (listed, avoided) = self.director.streamer_counts();
+        self.figures.set_gauge("open_requests", self.director.open_requests());
+        self.figures.set_gauge("registry_entries", listed);
+        self.figures.set_gauge("out_of_rotation", avoided);
+        self.figures.render()
     }
 
     /// Begins the end: what comes through the grace time is still answered.
     pub(super) fn leave(&mut self) {
-        if !self.duty.end(self.shared.now) {
+        if !self.duty.stop(self.shared.now) {
             return;
         }
-        let at = self.duty.ends_at().unwrap_or(self.shared.now);
+        let at = self.duty.stop_deadline().unwrap_or(self.shared.now);
         info!(self.shared.log, "asked to end"; "grace_ms" => at.saturating_sub(self.shared.now) / 1000);
         self.parts.peers.iter_mut().for_each(|peers| peers.leaving(self.shared.now));
         self.estate_leaves();
         self.shared.deadlines.set(at, Due::Quit);
-        if !self.duty.listens() {
+        if !self.duty.accepts_connections() {
             self.parts.viewers.shut(&self.shared);
         }
         self.look_at_duty();
@@ -100,13 +100,13 @@
             return;
         };
         match estate::take(place) {
-            Ok(left) => self.director.inherit(left),
+            Ok(left) => self.director.set_inherited_rungs(left),
             Err(why) => warn!(self.shared.log, "nothing is taken over: {why}"),
         }
     }
 
     fn look_at_duty(&mut self) {
-        if let Some(after) = self.duty.look_after() {
+        if let Some(after) = self.duty.poll_interval() {
             self.shared.wake(after, Due::Away);
         }
     }
@@ -116,16 +116,16 @@
         if self.phase != Phase::Serving {
             return;
         }
-        let Leave { close, hurry } = self.duty.leave(self.shared.now);
+        let ClientActions { close, expire_pending: hurry } = self.duty.poll(self.shared.now);
         if hurry {
             warn!(self.shared.log, "what is open is answered now, clients have to go");
             self.shared.inputs.push(Input::Hurry);
         }
-        if close != Close::None {
-            self.parts.viewers.send_away(&mut self.shared, &self.director, close == Close::All);
+        if close != CloseScope::None {
+            self.parts.viewers.send_away(&mut self.shared, &self.director, close == CloseScope::All);
             self.take_in();
         }
-        if self.duty.done(self.parts.viewers.held() + self.director.owed()) {
+        if self.duty.may_stop_early(self.parts.viewers.held() + self.director.pending_requests()) {
             return self.quit();
         }
         self.look_at_duty();
@@ -141,7 +141,7 @@
 
     /// Hands a turn's inputs to the core. As the grace period ends, answers that came in the same turn still
     /// count, and requests are refused; so are those that come afterwards.
-    pub(super) fn decide(&mut self, mut inputs: Vec<Input>) -> Vec<Deed> {
+    pub(super) fn decide(&mut self, mut inputs: Vec<Input>) -> Vec<Output> {
         let now = self.shared.now;
         if cfg!(feature = "planted") {
             let dropped = |id: RequestId| id.0.is_multiple_of(PLANTED_LOSS);
@@ -164,7 +164,7 @@
 
     /// Whether what stands is left to another process, and not released.
     fn leaves_sessions(&self) -> bool {
-        self.duty.bequeaths() || self.has_heirs()
+        self.duty.hands_over_sessions() || self.has_heirs()
     }
 
     /// Goes on with the end as a turn is over: answers what is open, ends the connections, and leaves when
@@ -187,7 +187,7 @@
     fn close(&mut self) {
         self.phase = Phase::Closing { since: self.shared.now };
         if let Some(place) = &self.estate
-            && let Err(why) = estate::leave(place, &self.director.estate())
+            && let Err(why) = estate::leave(place, &self.director.sessions_to_hand_over())
         {
             warn!(self.shared.log, "nothing is left to the next process: {why}");
         }
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -5,7 +5,7 @@
 use super::clock::Clock;
 use super::peers::Peers;
 use super::shared::Shared;
-use crate::director::{Input, Over, ViewerLink};
+use crate::director::{Input, SessionEnd, ViewerLink};
 use crate::interface::{LoadReport, Micros, RequestId, StreamerId};
 use crate::platform::rtsp;
 use crate::settings::Wanted;
@@ -167,9 +167,9 @@
             match input {
                 Input::Released { session, why, .. } if !director.holds(*session) => {
                     let what = match why {
-                        Over::Ended => StrayKind::Ended,
-                        Over::Cut => StrayKind::Cut,
-                        Over::Left => StrayKind::Left,
+                        SessionEnd::Ended => StrayKind::Ended,
+                        SessionEnd::Cut => StrayKind::Cut,
+                        SessionEnd::Left => StrayKind::Left,
                     };
                     hand.stray(now, session.0, what);
                 }
@@ -256,7 +256,7 @@
         match self.names.in_range(&wanted).and_then(|()| self.names.request(&wanted)) {
             Ok(request) => {
                 let streamer = StreamerId(self.names.streamers.known(&record.streamer).unwrap_or(u32::MAX));
-                self.director.inherit(vec![(request.id, usize::from(record.rung))]);
+                self.director.set_inherited_rungs(vec![(request.id, usize::from(record.rung))]);
                 self.shared.inputs.push(Input::Playing { link: NOBODY, request, streamer });
             }
             Err(why) => {
@@ -271,8 +271,8 @@
         let Some(streamer) = self.names.streamers.known(streamer).map(StreamerId) else { return };
         let why = match what {
             StrayKind::Left => return self.shared.inputs.push(Input::ViewerLeft(NOBODY, session)),
-            StrayKind::Ended => Over::Ended,
-            StrayKind::Cut => Over::Cut,
+            StrayKind::Ended => SessionEnd::Ended,
+            StrayKind::Cut => SessionEnd::Cut,
         };
         let (description, report) = (Vec::new(), LoadReport::default());
         let released = Input::Released { streamer, session, number: None, why, description, report };
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -24,7 +24,7 @@
             FromViewer::SetUp(set_up) => self.wanted(link, *set_up),
             FromViewer::Left(id) => self.shared.inputs.push(Input::ViewerLeft(link, id)),
             FromViewer::Test(id) => {
-                let result = viewer::test_result(id, self.duty.takes_clients());
+                let result = viewer::test_result(id, self.duty.accepts_clients());
                 self.parts.viewers.say(&mut self.shared, link, &result);
             }
             FromViewer::Unusable(id, why) => {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -26,7 +26,7 @@
 mod trace;
 mod viewers;
 
-use crate::director::{Counters, Deed, Director, Duty, Figures, Input, Over};
+use crate::director::{Counters, Director, Input, Lifecycle, MetricsRegistry, Output, SessionEnd};
 use crate::platform::{rtsp, viewer};
 use crate::settings::{Carriage, Info, Vocabulary};
 use agreed::Agreed;
@@ -68,8 +68,8 @@
     /// The operator file and what it set, where one is used.
     operator: Option<(PathBuf, SharedHalls)>,
     told_to_end: bool,
-    duty: Duty,
-    figures: Figures,
+    duty: Lifecycle,
+    figures: MetricsRegistry,
     /// Where processes of this director leave what stands to the next one, where the platform replaces them.
     estate: Option<PathBuf>,
     /// What the one before left has been taken over.
@@ -108,7 +108,7 @@
 
     /// One turn of the loop; waits for something to do, at most as long as said.
     pub fn turn(&mut self, most: Option<Duration>) -> Result<(), NodeError> {
-        let next = self.shared.deadlines.next();
+        let next = self.shared.deadlines.next_due();
         let until = next.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
         let heard = !self.shared.inputs.is_empty() || !self.shared.heard.is_empty();
         let left_over = heard.then_some(Duration::ZERO);
@@ -121,7 +121,7 @@
             self.parts.ready(&mut self.shared, &self.director, Ready { token, readable, writable });
             self.take_in();
         }
-        while let Some(due) = self.shared.deadlines.due(self.shared.now) {
+        while let Some(due) = self.shared.deadlines.pop_due(self.shared.now) {
             self.due(due);
         }
         if self.phase == Phase::LastTurn {
@@ -202,40 +202,40 @@
         }
     }
 
-    fn carry_out(&mut self, deed: Deed) {
+    fn carry_out(&mut self, deed: Output) {
         let shared = &mut self.shared;
         match deed {
-            Deed::Answer(link, id, description) => match viewer::answer(id, &description) {
+            Output::Answer(link, id, description) => match viewer::answer(id, &description) {
                 Some(bytes) => self.parts.viewers.stands(shared, link, id, &bytes),
                 None => {
                     self.parts.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
                     shared.inputs.push(Input::Undelivered(id));
                 }
             },
-            Deed::Refuse(link, id, hold_off_us) => {
+            Output::Refuse(link, id, hold_off_us) => {
                 self.parts.viewers.say(shared, link, &viewer::refusal(id, hold_off_us / 1000));
             }
-            Deed::Fail(link, id) => {
+            Output::Fail(link, id) => {
                 self.parts.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
             }
-            Deed::Spurn(link, id) => self.parts.viewers.spurn(shared, link, id),
-            Deed::Release(link, id, why) => {
-                let cause = if why == Over::Ended { viewer::CAUSE_ENDED } else { viewer::CAUSE_FAILED };
+            Output::Spurn(link, id) => self.parts.viewers.spurn(shared, link, id),
+            Output::Release(link, id, why) => {
+                let cause = if why == SessionEnd::Ended { viewer::CAUSE_ENDED } else { viewer::CAUSE_FAILED };
                 self.parts.viewers.release(shared, link, viewer::release(id, cause));
             }
-            Deed::MoveOff(link, id) => self.parts.viewers.release(shared, link, viewer::move_off(id)),
-            Deed::SetUp(set_up) => self.parts.streamers.set_up(shared, set_up),
-            Deed::GiveUp(streamer, attempt) => self.parts.streamers.give_up(shared, streamer, attempt),
-            Deed::Drop(streamer, id) => {
+            Output::MoveOff(link, id) => self.parts.viewers.release(shared, link, viewer::move_off(id)),
+            Output::SetUp(set_up) => self.parts.streamers.set_up(shared, set_up),
+            Output::GiveUp(streamer, attempt) => self.parts.streamers.give_up(shared, streamer, attempt),
+            Output::Drop(streamer, id) => {
                 self.parts.streamers.word(shared, streamer, rtsp::release(id), Some(id))
             }
-            Deed::Rung(streamer, id, rung) => {
+            Output::Rung(streamer, id, rung) => {
                 self.parts.streamers.word(shared, streamer, rtsp::rung(id, rung), Some(id));
             }
-            Deed::Probe(streamer) => self.parts.streamers.probe(shared, streamer),
-            Deed::Attend(streamer) => self.parts.streamers.attend(shared, streamer),
-            Deed::Wake(at, due) => shared.deadlines.set(at, Due::Core(due)),
-            Deed::Log(words) => info!(shared.log, "{words}"),
+            Output::Probe(streamer) => self.parts.streamers.probe(shared, streamer),
+            Output::Attend(streamer) => self.parts.streamers.attend(shared, streamer),
+            Output::Wake(at, due) => shared.deadlines.set(at, Due::Core(due)),
+            Output::Log(words) => info!(shared.log, "{words}"),
         }
     }
 }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     /// The core's own.
-    Core(director::Due),
+    Core(director::DeadlineKind),
     /// A connection to a streamer must be up by now.
     Dial(Token),
     /// A load test must be answered by now.
--- a/src/net/streamers/exchange.rs
+++ b/src/net/streamers/exchange.rs
@@ -5,7 +5,7 @@
 use super::super::shared::Shared;
 use super::link::{Saying, Writing};
 use super::{QUEUE_MOST, Streamers};
-use crate::director::{Attempt, Input, Unsent};
+use crate::director::{Attempt, Input, UnsentReason};
 use crate::interface::{LoadReport, Outcome, Standing};
 use crate::platform::rtsp;
 use slog::{debug, warn};
@@ -137,7 +137,7 @@
                         }
                         None => {
                             link.open.remove(&attempt.session);
-                            shared.inputs.push(Input::Unsent(attempt, Unsent::Withdrawn));
+                            shared.inputs.push(Input::Unsent(attempt, UnsentReason::Withdrawn));
                         }
                     }
                 }
@@ -151,7 +151,7 @@
         let streamer = link.streamer;
         for (session, (number, left)) in &link.open {
             let attempt = Attempt { session: *session, number: *number };
-            let unsent = Input::Unsent(attempt, Unsent::NoConnection);
+            let unsent = Input::Unsent(attempt, UnsentReason::NoConnection);
             shared.inputs.push(match *left {
                 true if link.spoilt => Input::Spoilt(attempt),
                 true => Input::Broken(attempt),
--- a/src/net/streamers/link.rs
+++ b/src/net/streamers/link.rs
@@ -2,7 +2,7 @@
 //! core.
 use super::super::line::Line;
 use super::super::shared::Shared;
-use crate::director::{Attempt, Input, Over, Parcel};
+use crate::director::{Attempt, Input, Parcel, SessionEnd};
 use crate::interface::{Micros, Outcome, RequestId, StreamerId};
 use crate::platform::rtsp::FromStreamer;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -75,9 +75,9 @@
             }
             FromStreamer::Released(session, cause, description, report) => {
                 let why = match cause {
-                    Some(16) => Over::Ended,
-                    Some(31) => Over::Left,
-                    _ => Over::Cut,
+                    Some(16) => SessionEnd::Ended,
+                    Some(31) => SessionEnd::Left,
+                    _ => SessionEnd::Cut,
                 };
                 let number = self.open.remove(&session).map(|o| o.0);
                 Input::Released { streamer, session, number, why, description, report }
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -7,7 +7,7 @@
 use super::part::{Part, Ready};
 use super::poll::Token;
 use super::shared::{Due, Shared};
-use crate::director::{Attempt, Director, Input, SetUp, Unsent};
+use crate::director::{Attempt, Director, Input, SetUp, UnsentReason};
 use crate::interface::{Entry, ListScope, LoadReport, Micros, Outcome, RequestId, Standing, StreamerId};
 use crate::platform::rtsp;
 use crate::settings::Carriage;
@@ -135,7 +135,7 @@
             });
             for attempt in back {
                 link.open.remove(&attempt.session);
-                shared.inputs.push(Input::Unsent(attempt, Unsent::Withdrawn));
+                shared.inputs.push(Input::Unsent(attempt, UnsentReason::Withdrawn));
             }
         }
     }
@@ -182,7 +182,7 @@
             self.pump(shared, token);
         } else {
             link.queue.retain(|s| !matches!(s, Saying::SetUp { attempt: a, .. } if *a == attempt));
-            shared.inputs.push(Input::Unsent(attempt, Unsent::NoConnection));
+            shared.inputs.push(Input::Unsent(attempt, UnsentReason::NoConnection));
         }
     }
 
@@ -227,7 +227,7 @@
             Ok(token) => token,
             Err(why) => {
                 let outcome =
-                    if why == Unsent::NoConnection { Outcome::ConnectError } else { Outcome::Ignored };
+                    if why == UnsentReason::NoConnection { Outcome::ConnectError } else { Outcome::Ignored };
                 let report = LoadReport::default();
                 return shared.inputs.push(Input::Probed { streamer, outcome, report });
             }
@@ -277,7 +277,7 @@
             Due::Probe(token, id) => self.probe_due(shared, token, id),
             Due::GiveUp(token, attempt) => self.give_up_due(shared, token, attempt),
             Due::Watch => {
-                self.watch(shared, |s| director.standing_at(s));
+                self.watch(shared, |s| director.sessions_at(s));
                 shared.wake(WATCH_US, Due::Watch);
             }
             _ => return false,
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -7,7 +7,7 @@
     GIVEN_UP_MOST, HEARD_US, LOST_US, Pool, QUEUE_MOST, REDIAL_US, REDIAL_WORDS_US, REFUSED_US, SILENT_US,
 };
 use super::{Streamers, WORDS_KEPT_US};
-use crate::director::{Input, Unsent};
+use crate::director::{Input, UnsentReason};
 use crate::interface::{Micros, RequestId, StreamerId};
 use slog::{debug, warn};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,8 +20,8 @@
         shared: &mut Shared,
         streamer: StreamerId,
         session: Option<RequestId>,
-    ) -> Result<Token, Unsent> {
-        let pool = self.pools.get(&streamer).ok_or(Unsent::Withdrawn)?;
+    ) -> Result<Token, UnsentReason> {
+        let pool = self.pools.get(&streamer).ok_or(UnsentReason::Withdrawn)?;
         // Where new connections have a price, one is used as long as nothing speaks against its streamer.
         let trusted = self.carriage.handshake_price > 0.0 && pool.failing_since.is_none();
         let fits = |l: &&Link| {
@@ -47,29 +47,29 @@
     }
 
     /// Begins a new connection. What only this machine lacks for it says nothing of the streamer.
-    pub(super) fn dial(&mut self, shared: &mut Shared, streamer: StreamerId) -> Result<Token, Unsent> {
+    pub(super) fn dial(&mut self, shared: &mut Shared, streamer: StreamerId) -> Result<Token, UnsentReason> {
         if self.links.len() >= self.most {
             let unused = |l: &&Link| {
                 let waits = !l.queue.is_empty() || l.line.unwritten() > 0;
                 l.up && l.open.is_empty() && l.tests.is_empty() && !waits
             };
             let oldest = self.links.values().filter(unused).min_by_key(|l| l.used_at);
-            let oldest = oldest.map(|l| l.line.token()).ok_or(Unsent::Withdrawn)?;
+            let oldest = oldest.map(|l| l.line.token()).ok_or(UnsentReason::Withdrawn)?;
             self.make_room(shared, oldest);
         }
-        let pool = self.pools.get_mut(&streamer).ok_or(Unsent::Withdrawn)?;
+        let pool = self.pools.get_mut(&streamer).ok_or(UnsentReason::Withdrawn)?;
         pool.dial_at = shared.now.saturating_add(REDIAL_US);
         pool.cut = false;
-        let line = match Line::dial(&mut shared.poll, pool.address.ok_or(Unsent::Withdrawn)?) {
+        let line = match Line::dial(&mut shared.poll, pool.address.ok_or(UnsentReason::Withdrawn)?) {
             Ok(line) => line,
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => {
                 self.dial_failed(shared, streamer, shared.now, &why);
-                return Err(Unsent::NoConnection);
+                return Err(UnsentReason::NoConnection);
             }
             Err(why) => {
                 shared.counters.descriptors_out += 1;
                 warn!(shared.log, "no connection can be begun: {why}"; "streamer" => streamer.0);
-                return Err(Unsent::Withdrawn);
+                return Err(UnsentReason::Withdrawn);
             }
         };
         let token = line.token();
--- a/src/net/trace.rs
+++ b/src/net/trace.rs
@@ -3,7 +3,7 @@
 //! day's trace heavy enough to change the timing it was to show). Also the lines that name requests which end
 //! without an answer. Decides nothing.
 use super::Node;
-use crate::director::{Deed, Input, SetUp};
+use crate::director::{Input, Output, SetUp};
 use slog::debug;
 
 impl Node {
@@ -11,7 +11,7 @@
     pub(super) fn log_lost_requests(&self, inputs: &[Input]) {
         for input in inputs {
             if let Input::LinkLost(link) = input
-                && let (open @ 1.., _) = self.director.on_link(*link)
+                && let (open @ 1.., _) = self.director.requests_and_sessions_on(*link)
             {
                 debug!(self.shared.log, "requests are given up with their connection";
                     "at_us" => self.shared.now, "connection" => link.0, "requests" => open);
@@ -41,13 +41,13 @@
 }
 
 /// A deed, briefly; `None` for wake-ups and the module's own lines, which are not traced.
-pub fn deed(deed: &Deed) -> Option<String> {
+pub fn deed(deed: &Output) -> Option<String> {
     Some(match deed {
-        Deed::Wake(..) | Deed::Log(_) => return None,
-        Deed::Answer(link, id, description) => {
+        Output::Wake(..) | Output::Log(_) => return None,
+        Output::Answer(link, id, description) => {
             format!("Answer {id:?} to {link:?}, {} bytes", description.len())
         }
-        Deed::SetUp(SetUp { streamer, attempt, rung, until, .. }) => {
+        Output::SetUp(SetUp { streamer, attempt, rung, until, .. }) => {
             format!("SetUp {attempt:?} at {streamer:?}, rung {rung}, until {until}")
         }
         other => format!("{other:?}"),
@@ -68,8 +68,8 @@
         let wanted = input(&Input::Wanted { link: crate::director::ViewerLink(3), request, parcel });
         let wanted = wanted.expect("traced");
         assert!(wanted.contains("RequestId(42)") && wanted.len() < 400, "{wanted}");
-        let answer = deed(&Deed::Answer(crate::director::ViewerLink(3), RequestId(42), vec![7; 500]));
+        let answer = deed(&Output::Answer(crate::director::ViewerLink(3), RequestId(42), vec![7; 500]));
         assert_eq!(answer.as_deref(), Some("Answer RequestId(42) to ViewerLink(3), 500 bytes"));
-        assert!(deed(&Deed::Probe(StreamerId(1))).is_some());
+        assert!(deed(&Output::Probe(StreamerId(1))).is_some());
     }
 }
--- a/src/net/viewers/closing.rs
+++ b/src/net/viewers/closing.rs
@@ -70,7 +70,8 @@
                 self.closing.remove(&token);
                 continue;
             };
-            let open = director.on_link(ViewerLink(token)).0 > 0 || caller.line.unwritten() > 0;
+            let open =
+                director.requests_and_sessions_on(ViewerLink(token)).0 > 0 || caller.line.unwritten() > 0;
             let within = |span: Micros| since.saturating_add(span) > shared.now;
             let partial = caller.takes_messages() && within(PARTIAL_US);
             let more = why == CloseReason::End && within(MORE_US);
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -111,10 +111,9 @@
     /// session ever stood, the longest unheard of first. What has come on it meanwhile is heard instead.
     fn make_room(&mut self, shared: &mut Shared, director: &Director) -> bool {
         for _ in 0..ROOM_TRIES {
-            let least = self
-                .callers
-                .iter()
-                .filter(|(t, c)| director.on_link(ViewerLink(**t)).0 == 0 && c.may_make_room(shared.now));
+            let least = self.callers.iter().filter(|(t, c)| {
+                director.requests_and_sessions_on(ViewerLink(**t)).0 == 0 && c.may_make_room(shared.now)
+            });
             let least = least.min_by_key(|(_, c)| (c.stood, c.heard_at)).map(|(t, _)| *t);
             let Some(token) = least else { return false };
             let more = self.hears_more(shared, token);
@@ -152,7 +151,7 @@
             Stage::Finished { why, until } if until <= shared.now => return self.close(shared, token, why),
             Stage::Finished { .. } => return,
         }
-        let (open, standing) = director.on_link(ViewerLink(token));
+        let (open, standing) = director.requests_and_sessions_on(ViewerLink(token));
         let overdue = |caller: &Caller| caller.overdue(shared.now, standing);
         if open == 0 && overdue(caller) {
             let more = self.hears_more(shared, token);
@@ -196,7 +195,7 @@
     pub fn send_away(&mut self, shared: &mut Shared, director: &Director, all: bool) {
         let quiet = |(token, c): (&Token, &Caller)| {
             let settled = c.answered || c.since.saturating_add(FIRST_US) <= shared.now;
-            let (open, standing) = director.on_link(ViewerLink(*token));
+            let (open, standing) = director.requests_and_sessions_on(ViewerLink(*token));
             let quiet = c.stage == Stage::Open && settled && c.line.unwritten() == 0;
             (open == 0 && (all || standing == 0) && quiet).then_some(*token)
         };
--- a/tests/common/ledger.rs
+++ b/tests/common/ledger.rs
@@ -32,19 +32,19 @@
 }
 
 /// The streamer, the attempt and the deadline of the set-up among the outputs.
-pub fn find_set_up(outputs: &[Deed]) -> Option<(StreamerId, Attempt, Micros)> {
+pub fn find_set_up(outputs: &[Output]) -> Option<(StreamerId, Attempt, Micros)> {
     outputs.iter().find_map(|output| match output {
-        Deed::SetUp(SetUp { streamer, attempt, until, .. }) => Some((*streamer, *attempt, *until)),
+        Output::SetUp(SetUp { streamer, attempt, until, .. }) => Some((*streamer, *attempt, *until)),
         _ => None,
     })
 }
 
-/// Runs one turn; leaves out deadlines, log lines and [`Deed::Attend`].
-pub fn run_turn(director: &mut Director, now: Micros, input: Input) -> Vec<Deed> {
+/// Runs one turn; leaves out deadlines, log lines and [`Output::Attend`].
+pub fn run_turn(director: &mut Director, now: Micros, input: Input) -> Vec<Output> {
     let outputs = director.turn(now, [input]);
     outputs
         .into_iter()
-        .filter(|output| !matches!(output, Deed::Wake(..) | Deed::Log(_) | Deed::Attend(_)))
+        .filter(|output| !matches!(output, Output::Wake(..) | Output::Log(_) | Output::Attend(_)))
         .collect()
 }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -14,11 +14,11 @@
     let (streamer, attempt, _) =
         find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("a set-up");
     let (session, number, report) = (attempt.session, Some(attempt.number), LoadReport::default());
-    let (why, description) = (Over::Ended, b"as made".to_vec());
+    let (why, description) = (SessionEnd::Ended, b"as made".to_vec());
     let outputs =
         run_turn(&mut director, now, Input::Released { streamer, session, number, why, description, report });
-    let answer = Deed::Answer(VIEWER_LINK, session, b"as made".to_vec());
-    assert_eq!(outputs, [answer, Deed::Release(VIEWER_LINK, session, Over::Ended)]);
+    let answer = Output::Answer(VIEWER_LINK, session, b"as made".to_vec());
+    assert_eq!(outputs, [answer, Output::Release(VIEWER_LINK, session, SessionEnd::Ended)]);
 }
 
 /// A session id that is in use on another connection is rejected, and the second connection cannot end the
@@ -31,18 +31,21 @@
         find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("a set-up");
     let (id, other_link) = (attempt.session, ViewerLink(8));
     let duplicate = Input::Wanted { link: other_link, request: request(1, 1), parcel: Rc::default() };
-    assert_eq!(run_turn(&mut director, now, duplicate), [Deed::Spurn(other_link, id)]);
+    assert_eq!(run_turn(&mut director, now, duplicate), [Output::Spurn(other_link, id)]);
     assert!(run_turn(&mut director, now, Input::ViewerLeft(other_link, id)).is_empty());
-    let answer = Deed::Answer(VIEWER_LINK, id, b"as made".to_vec());
+    let answer = Output::Answer(VIEWER_LINK, id, b"as made".to_vec());
     assert_eq!(run_turn(&mut director, now, established(streamer, attempt, Some(0))), [answer]);
-    assert_eq!((director.on_link(VIEWER_LINK), director.on_link(other_link)), ((0, 1), (0, 0)));
+    assert_eq!(
+        (director.requests_and_sessions_on(VIEWER_LINK), director.requests_and_sessions_on(other_link)),
+        ((0, 1), (0, 0))
+    );
 
     let (at, attempt, _) =
         find_set_up(&run_turn(&mut director, now, session_request(2, 0))).expect("a set-up");
     let outputs = run_turn(&mut director, now, session_request(2, 1));
-    assert_eq!(outputs, [Deed::GiveUp(at, attempt), Deed::Spurn(VIEWER_LINK, attempt.session)]);
+    assert_eq!(outputs, [Output::GiveUp(at, attempt), Output::Spurn(VIEWER_LINK, attempt.session)]);
     assert!(run_turn(&mut director, now, Input::GaveUp(attempt)).is_empty());
-    assert_eq!(director.owed(), 0);
+    assert_eq!(director.pending_requests(), 0);
 }
 
 /// Hundreds of simultaneous requests on one connection crowded out the answers to all other connections.
@@ -52,7 +55,7 @@
     let outputs = director.turn(now, (0..300).map(|id| session_request(id, 0)));
     let refused: Vec<u64> = outputs
         .iter()
-        .filter_map(|output| if let Deed::Refuse(_, id, _) = output { Some(id.0) } else { None })
+        .filter_map(|output| if let Output::Refuse(_, id, _) = output { Some(id.0) } else { None })
         .collect();
     assert!((256..300).all(|id| refused.contains(&id)), "{refused:?}");
 }
@@ -67,7 +70,7 @@
         find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("a set-up");
     assert_eq!(
         run_turn(&mut director, now, Input::Spoilt(attempt)),
-        [Deed::Fail(VIEWER_LINK, attempt.session)]
+        [Output::Fail(VIEWER_LINK, attempt.session)]
     );
     let used_again = (2..40).any(|id| {
         let set_up = find_set_up(&run_turn(&mut director, now, session_request(id, 0)));
@@ -97,16 +100,20 @@
     let (mut director, now) = ready_director();
     let (streamer, attempt, until) =
         find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("a set-up");
-    let outputs = run_turn(&mut director, until, Input::Due(Due::Attempt(attempt)));
-    assert_eq!(outputs, [Deed::GiveUp(streamer, attempt)], "nothing else before the cancellation is written");
+    let outputs = run_turn(&mut director, until, Input::Due(DeadlineKind::Attempt(attempt)));
+    assert_eq!(
+        outputs,
+        [Output::GiveUp(streamer, attempt)],
+        "nothing else before the cancellation is written"
+    );
     let outputs = run_turn(&mut director, until, Input::GaveUp(attempt));
     assert_eq!(
         outputs,
-        [Deed::Fail(VIEWER_LINK, attempt.session)],
+        [Output::Fail(VIEWER_LINK, attempt.session)],
         "the attempt may have run: failed, not refused"
     );
     let outputs = run_turn(&mut director, until + 1, established(streamer, attempt, None));
-    assert_eq!(outputs, [Deed::Drop(streamer, attempt.session)]);
+    assert_eq!(outputs, [Output::Drop(streamer, attempt.session)]);
 }
 
 /// A cancellation that cannot be written delays the next attempt, but not the final answer at the deadline.
@@ -116,11 +123,11 @@
     let (streamer, attempt, until) =
         find_set_up(&run_turn(&mut director, now, session_request(1, 1))).expect("a set-up");
     assert_eq!(
-        run_turn(&mut director, until, Input::Due(Due::Attempt(attempt))),
-        [Deed::GiveUp(streamer, attempt)]
+        run_turn(&mut director, until, Input::Due(DeadlineKind::Attempt(attempt))),
+        [Output::GiveUp(streamer, attempt)]
     );
-    let outputs = run_turn(&mut director, now + 4 * S, Input::Due(Due::Answer(attempt.session)));
-    assert_eq!(outputs, [Deed::Fail(VIEWER_LINK, attempt.session)]);
+    let outputs = run_turn(&mut director, now + 4 * S, Input::Due(DeadlineKind::Answer(attempt.session)));
+    assert_eq!(outputs, [Output::Fail(VIEWER_LINK, attempt.session)]);
     assert!(run_turn(&mut director, now + 4 * S, Input::GaveUp(attempt)).is_empty());
 }
 
@@ -135,10 +142,10 @@
     let restarted = |at| Entry { started_at: Some(at), ..entry(streamer.0, streamer.0) };
     let list_update = |at| Input::List { scope: ListScope::Delta, entries: vec![restarted(at)] };
     run_turn(&mut director, now + 1, list_update(now - S));
-    assert_eq!(director.standing_at(streamer), 1);
+    assert_eq!(director.sessions_at(streamer), 1);
     let outputs = run_turn(&mut director, now + 2, list_update(now + 1));
-    assert!(outputs.contains(&Deed::Release(VIEWER_LINK, attempt.session, Over::Cut)));
-    assert_eq!(director.standing_at(streamer), 0);
+    assert!(outputs.contains(&Output::Release(VIEWER_LINK, attempt.session, SessionEnd::Cut)));
+    assert_eq!(director.sessions_at(streamer), 0);
 }
 
 /// The margin for the final answer applies only in the ledger. When it was deducted from the time limit
@@ -154,10 +161,10 @@
     let (link, parcel, now) = (VIEWER_LINK, Rc::default(), 20 * S);
     let request = Request { left_us: S + 18_000, ..request(1, 0) };
     let outputs = run_turn(&mut director, now, Input::Wanted { link, request, parcel });
-    let [Deed::Probe(streamer)] = outputs[..] else { panic!("not probed first: {outputs:?}") };
+    let [Output::Probe(streamer)] = outputs[..] else { panic!("not probed first: {outputs:?}") };
     let (outcome, report) = (Outcome::Failed, LoadReport::default());
     let mut outputs = run_turn(&mut director, now + 1, Input::Probed { streamer, outcome, report });
-    if let [Deed::Probe(streamer)] = outputs[..] {
+    if let [Output::Probe(streamer)] = outputs[..] {
         outputs = run_turn(&mut director, now + 2, Input::Probed { streamer, outcome, report });
     }
     let (_, _, until) = find_set_up(&outputs).expect("a set-up");
@@ -171,11 +178,11 @@
     let (streamer, attempt, _) =
         find_set_up(&run_turn(&mut director, now, session_request(1, 0))).expect("a set-up");
     let outputs = run_turn(&mut director, now, established(streamer, attempt, Some(attempt.number)));
-    assert!(outputs.iter().any(|output| matches!(output, Deed::Answer(..))));
-    let release = Deed::Drop(streamer, attempt.session);
+    assert!(outputs.iter().any(|output| matches!(output, Output::Answer(..))));
+    let release = Output::Drop(streamer, attempt.session);
     assert_eq!(run_turn(&mut director, now, Input::Undelivered(attempt.session)), vec![release]);
     assert_eq!(run_turn(&mut director, now, Input::Undelivered(attempt.session)), vec![], "already ended");
-    assert_eq!(director.standing_at(streamer), 0);
+    assert_eq!(director.sessions_at(streamer), 0);
 }
 
 /// When a viewer leaves before its set-up has a connection, that says nothing about the streamer: the
@@ -189,8 +196,8 @@
             panic!("request {id} was not sent");
         };
         let outputs = run_turn(&mut director, now, Input::ViewerLeft(VIEWER_LINK, attempt.session));
-        assert!(outputs.contains(&Deed::GiveUp(streamer, attempt)));
-        run_turn(&mut director, now, Input::Unsent(attempt, Unsent::NoConnection));
+        assert!(outputs.contains(&Output::GiveUp(streamer, attempt)));
+        run_turn(&mut director, now, Input::Unsent(attempt, UnsentReason::NoConnection));
     }
-    assert_eq!(director.listed().1, 0, "no streamer is avoided");
+    assert_eq!(director.streamer_counts().1, 0, "no streamer is avoided");
 }
--- a/tests/estate.rs
+++ b/tests/estate.rs
@@ -1,24 +1,25 @@
 //! What one process leaves to the next: the rungs of the sessions that stand.
 mod common;
 use common::*;
-use stonewharf::director::{Deed, Director, Due, Input, ViewerLink};
+use stonewharf::director::{DeadlineKind, Director, Input, Output, ViewerLink};
 use stonewharf::*;
 
 /// The rungs that a director sets within 2 s of a hand-over of sessions that play at the top rung.
-fn set_after_a_hand_over(left: &[(RequestId, usize)]) -> Vec<usize> {
+fn rungs_set_after_hand_over(left: &[(RequestId, usize)]) -> Vec<usize> {
     let mut director = Director::new(settings(vec![class(1.0, Effect::Idempotent)]), 7, 0).expect("settings");
     let entries = (0..4).map(|i| entry(i, i)).collect();
     director.turn(0, [Input::List { scope: ListScope::Full, entries }]);
-    director.inherit(left.to_vec());
+    director.set_inherited_rungs(left.to_vec());
     let playing =
         |id| Input::Playing { link: ViewerLink(1), request: request(id, 0), streamer: StreamerId(0) };
     // Long after the start of all clocks, as it is in service.
-    let mut deeds = director.turn(100 * S, (1..=3).map(playing));
+    let mut outputs = director.turn(100 * S, (1..=3).map(playing));
     for tick in 1..8 {
-        deeds.extend(director.turn(100 * S + tick * 250_000, [Input::Due(Due::Timer(TimerTag(1)))]));
+        outputs
+            .extend(director.turn(100 * S + tick * 250_000, [Input::Due(DeadlineKind::Timer(TimerTag(1)))]));
     }
-    let rung = |d: &Deed| if let Deed::Rung(_, _, rung) = d { Some(*rung) } else { None };
-    deeds.iter().filter_map(rung).collect()
+    let rung_set = |output: &Output| if let Output::Rung(_, _, rung) = output { Some(*rung) } else { None };
+    outputs.iter().filter_map(rung_set).collect()
 }
 
 /// The new process took all sessions for such at the lowest rung, and by wanting each a rung up set it to the second
@@ -26,8 +27,8 @@
 #[test]
 fn sessions_that_are_handed_over_stay_at_the_rung_that_was_left() {
     let left: Vec<_> = (1..=3).map(|id| (RequestId(id), 3)).collect();
-    assert_eq!(set_after_a_hand_over(&left), Vec::<usize>::new());
-    assert!(set_after_a_hand_over(&[]).contains(&1), "without it they are set down: this test can fail");
+    assert_eq!(rungs_set_after_hand_over(&left), Vec::<usize>::new());
+    assert!(rungs_set_after_hand_over(&[]).contains(&1), "without it they are set down: this test can fail");
 }
 
 /// What is told of rungs, and set, is what is left.
@@ -41,9 +42,12 @@
     director.turn(S, [playing(1), playing(2)]);
     let (streamer, kind) = (StreamerId(0), NoteKind::Rung);
     director.turn(S, [Input::Noted { streamer, session: RequestId(2), kind, value: 3.0 }]);
-    assert_eq!(director.estate(), vec![(RequestId(1), 0), (RequestId(2), 3)]);
+    assert_eq!(director.sessions_to_hand_over(), vec![(RequestId(1), 0), (RequestId(2), 3)]);
     director.turn(S, [Input::ViewerLeft(ViewerLink(1), RequestId(1))]);
-    assert_eq!(director.estate(), vec![(RequestId(2), 3)]);
-    let deeds = director.close(true);
-    assert!(!deeds.iter().any(|d| matches!(d, Deed::Release(..) | Deed::Drop(..))), "{deeds:?}");
+    assert_eq!(director.sessions_to_hand_over(), vec![(RequestId(2), 3)]);
+    let outputs = director.close(true);
+    assert!(
+        !outputs.iter().any(|output| matches!(output, Output::Release(..) | Output::Drop(..))),
+        "{outputs:?}"
+    );
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -25,7 +25,7 @@
     let (mut director, mut now) = ready_director();
     let mut sessions: BTreeMap<RequestId, SessionModel> = BTreeMap::new();
     let mut standings = [Standing::Up; 4];
-    let mut timers: Deadlines<Due> = Deadlines::default();
+    let mut timers: Deadlines<DeadlineKind> = Deadlines::default();
     let final_wait_us = steps.len() as u64 * 20_000 + 40 * S;
     for step in 0..steps.len() + 1 {
         let last = step == steps.len();
@@ -58,13 +58,15 @@
             }
             (6, Some((_, attempt, _))) => inputs.push(match detail_byte % 3 {
                 0 => Input::Broken(attempt),
-                1 => Input::Unsent(attempt, Unsent::NoConnection),
-                _ => Input::Unsent(attempt, Unsent::Withdrawn),
+                1 => Input::Unsent(attempt, UnsentReason::NoConnection),
+                _ => Input::Unsent(attempt, UnsentReason::Withdrawn),
             }),
             (7, _) => inputs.push(Input::ViewerLeft(VIEWER_LINK, id)),
             (8, _) => {
-                let (why, report) =
-                    ([Over::Ended, Over::Cut, Over::Left][usize::from(detail_byte % 3)], Default::default());
+                let (why, report) = (
+                    [SessionEnd::Ended, SessionEnd::Cut, SessionEnd::Left][usize::from(detail_byte % 3)],
+                    Default::default(),
+                );
                 let number = in_flight.filter(|o| o.0 == at).map(|o| o.1.number);
                 let (session, description) = (id, Description::new());
                 inputs.push(Input::Released { streamer: at, session, number, why, description, report });
@@ -84,10 +86,10 @@
             .map_err(|why| format!("step {step}: {why}"))?;
     }
     let unanswered = sessions.values().filter(|m| !m.answered && !m.viewer_left).count();
-    if unanswered > 0 || director.owed() > 0 {
+    if unanswered > 0 || director.pending_requests() > 0 {
         return Err(format!(
             "{unanswered} requests were never answered, the director holds {} as pending",
-            director.owed()
+            director.pending_requests()
         ));
     }
     Ok(())
@@ -98,12 +100,12 @@
     director: &mut Director,
     sessions: &mut BTreeMap<RequestId, SessionModel>,
     standings: &[Standing; 4],
-    timers: &mut Deadlines<Due>,
+    timers: &mut Deadlines<DeadlineKind>,
     (now, selector): (Micros, u8),
     mut inputs: Vec<Input>,
 ) -> Result<(), String> {
     loop {
-        while let Some(due) = timers.due(now) {
+        while let Some(due) = timers.pop_due(now) {
             inputs.push(Input::Due(due));
         }
         if inputs.is_empty() {
@@ -113,12 +115,12 @@
         for output in director.turn(now, std::mem::take(&mut inputs)) {
             check_output(sessions, standings, now, &output).map_err(|why| format!("{why} at {output:?}"))?;
             match output {
-                Deed::Wake(at, due) => timers.set(at, due),
-                Deed::GiveUp(_, attempt) if selector % 3 == 0 => {
-                    inputs.push(Input::Unsent(attempt, Unsent::NoConnection));
+                Output::Wake(at, due) => timers.set(at, due),
+                Output::GiveUp(_, attempt) if selector % 3 == 0 => {
+                    inputs.push(Input::Unsent(attempt, UnsentReason::NoConnection));
                 }
-                Deed::GiveUp(_, attempt) => inputs.push(Input::GaveUp(attempt)),
-                Deed::Probe(streamer) => {
+                Output::GiveUp(_, attempt) => inputs.push(Input::GaveUp(attempt)),
+                Output::Probe(streamer) => {
                     let report = LoadReport { link: Some(0.3), ..LoadReport::default() };
                     inputs.push(Input::Probed { streamer, outcome: Outcome::Ok, report });
                 }
@@ -173,11 +175,11 @@
     sessions: &mut BTreeMap<RequestId, SessionModel>,
     standings: &[Standing; 4],
     now: Micros,
-    output: &Deed,
+    output: &Output,
 ) -> Result<(), &'static str> {
     let ensure = |ok: bool, why| if ok { Ok(()) } else { Err(why) };
     match output {
-        Deed::SetUp(SetUp { streamer, attempt, until, .. }) => {
+        Output::SetUp(SetUp { streamer, attempt, until, .. }) => {
             let m = sessions.get_mut(&attempt.session).ok_or("a set-up for an unknown session")?;
             ensure(m.in_flight.is_none(), "two attempts in flight at once")?;
             ensure(!m.answered && !m.viewer_left, "a set-up after the final answer")?;
@@ -186,30 +188,30 @@
             ensure(*until > now, "a set-up whose deadline has passed")?;
             m.in_flight = Some((*streamer, *attempt, *until));
         }
-        Deed::GiveUp(_, attempt) => {
+        Output::GiveUp(_, attempt) => {
             let m = sessions.get_mut(&attempt.session).ok_or("a cancellation for an unknown session")?;
             // The attempt may have ended by itself in the same turn, after its deadline passed.
             ensure(m.in_flight.is_none_or(|o| o.1 == *attempt), "a cancellation of another attempt")?;
             m.canceling = m.in_flight.is_some();
         }
-        Deed::Answer(_, id, _) | Deed::Refuse(_, id, _) | Deed::Fail(_, id) => {
+        Output::Answer(_, id, _) | Output::Refuse(_, id, _) | Output::Fail(_, id) => {
             let m = sessions.get_mut(id).ok_or("an answer for an unknown session")?;
             ensure(!m.answered, "a second answer")?;
             ensure(!m.viewer_left, "an answer to a viewer that has left")?;
             m.answered = true;
-            if let Deed::Answer(_, _, description) = output {
+            if let Output::Answer(_, _, description) = output {
                 ensure(description == b"as made", "an answer with a description that no streamer sent")?;
                 ensure(!m.canceling, "an answer from a canceled attempt")?;
                 m.established_at = m.in_flight.take().map(|o| o.0);
                 ensure(m.established_at.is_some(), "an answer without an attempt")?;
             }
-            let refused = matches!(output, Deed::Refuse(..));
+            let refused = matches!(output, Output::Refuse(..));
             ensure(
                 !refused || m.class == 1 || !m.may_have_run,
                 "a paid set-up that may have run is refused",
             )?;
         }
-        Deed::Release(_, id, _) => {
+        Output::Release(_, id, _) => {
             let m = sessions.get_mut(id).ok_or("a release of an unknown session")?;
             ensure(m.answered, "a release before the final answer")?;
         }
--- a/tests/outer_names.rs
+++ b/tests/outer_names.rs
@@ -53,9 +53,9 @@
 
 #[test]
 fn figures_keep_their_names() {
-    let figures = Figures::default();
-    let _counters = Counters::among(&figures, &["pay".into()]);
-    let text = figures.text();
+    let figures = MetricsRegistry::default();
+    let _counters = Counters::registered_in(&figures, &["pay".into()]);
+    let text = figures.render();
     let names: Vec<_> = text.lines().filter_map(|line| line.split_once('=')).map(|(name, _)| name).collect();
     let expected = include_str!("outer_names/figures.txt");
     assert_eq!(names, expected.lines().collect::<Vec<_>>());
@@ -130,12 +130,12 @@
         Input::Unread(id),
         Input::Stands { streamer, session: id, number, description: description.clone() },
         Input::TurnedAway { streamer, session: id, number, outcome: Outcome::QueueFull, report },
-        Input::Unsent(attempt, Unsent::NoConnection),
-        Input::Unsent(attempt, Unsent::Withdrawn),
+        Input::Unsent(attempt, UnsentReason::NoConnection),
+        Input::Unsent(attempt, UnsentReason::Withdrawn),
         Input::GaveUp(attempt),
         Input::Broken(attempt),
         Input::Spoilt(attempt),
-        Input::Released { streamer, session: id, number, why: Over::Ended, description, report },
+        Input::Released { streamer, session: id, number, why: SessionEnd::Ended, description, report },
         Input::DropHeard(id),
         Input::LaidDown(vec![id]),
         Input::Lost(streamer),
@@ -149,20 +149,20 @@
     ];
     let set_up = SetUp { streamer, attempt, rung: 1, until: 5, send_by: 4, parcel };
     let outputs = [
-        Deed::Answer(link, id, vec![1]),
-        Deed::Refuse(link, id, 9),
-        Deed::Fail(link, id),
-        Deed::Spurn(link, id),
-        Deed::Release(link, id, Over::Ended),
-        Deed::Release(link, id, Over::Cut),
-        Deed::Release(link, id, Over::Left),
-        Deed::MoveOff(link, id),
-        Deed::SetUp(set_up),
-        Deed::GiveUp(streamer, attempt),
-        Deed::Drop(streamer, id),
-        Deed::Rung(streamer, id, 2),
-        Deed::Probe(streamer),
-        Deed::Attend(streamer),
+        Output::Answer(link, id, vec![1]),
+        Output::Refuse(link, id, 9),
+        Output::Fail(link, id),
+        Output::Spurn(link, id),
+        Output::Release(link, id, SessionEnd::Ended),
+        Output::Release(link, id, SessionEnd::Cut),
+        Output::Release(link, id, SessionEnd::Left),
+        Output::MoveOff(link, id),
+        Output::SetUp(set_up),
+        Output::GiveUp(streamer, attempt),
+        Output::Drop(streamer, id),
+        Output::Rung(streamer, id, 2),
+        Output::Probe(streamer),
+        Output::Attend(streamer),
     ];
     let actions = [
         Action::Send { request: id, streamer, try_for_us: 5 },
