--- a/crates/core/tests/lifecycle.rs
+++ b/crates/core/tests/lifecycle.rs
@@ -5,7 +5,7 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn calls_change_the_stance_once_and_are_refused_at_the_end() {
+fn lame_duck_calls_are_idempotent_and_refused_while_stopping() {
     let mut lifecycle = Lifecycle::new(3 * S, false);
     assert!(lifecycle.accepts_clients() && lifecycle.poll_interval().is_none());
     assert_eq!(lifecycle.set_lame_duck(S, false), Ok(()), "it serves already");
@@ -34,7 +34,7 @@
 
 /// What is closed when, for each state: at the call, when the front has heard, before it looks.
 #[test]
-fn connections_are_closed_when_the_front_has_heard_and_all_of_them_before_it_looks() {
+fn connections_are_closed_at_the_time_that_each_state_sets() {
     let closes = |lifecycle: &mut Lifecycle| -> Vec<(CloseScope, bool)> {
         let at = [0, 499, 500, 3_699, 3_700, 3_880, 3_900];
         let actions = at.map(|ms| lifecycle.poll(10 * S + ms * 1_000));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn only_with_an_heir_the_end_comes_early_takes_no_connections_and_leaves_what_stands() {
+fn only_a_director_with_a_successor_stops_early_and_hands_over_sessions() {
     for has_successor in [false, true] {
         let mut lifecycle = Lifecycle::new(3 * S, has_successor);
         assert!(lifecycle.accepts_connections() && !lifecycle.may_stop_early(0));
@@ -78,7 +78,7 @@
 
 /// Sent away again and again, each time is hurried once.
 #[test]
-fn each_time_is_hurried_once() {
+fn pending_requests_expire_once_in_each_lame_duck_period() {
     let mut lifecycle = Lifecycle::new(3 * S, false);
     let mut expirations = 0;
     for round in 0..3 {
--- a/tests/estate.rs
+++ b/tests/estate.rs
@@ -5,11 +5,11 @@
 use stonewharf::*;
 
 /// The rungs that a director sets within 2 s of a hand-over of sessions that play at the top rung.
-fn rungs_set_after_hand_over(left: &[(RequestId, usize)]) -> Vec<usize> {
+fn rungs_set_after_hand_over(inherited: &[(RequestId, usize)]) -> Vec<usize> {
     let mut director = Director::new(settings(vec![class(1.0, Effect::Idempotent)]), 7, 0).expect("settings");
     let entries = (0..4).map(|i| entry(i, i)).collect();
     director.turn(0, [Input::List { scope: ListScope::Full, entries }]);
-    director.set_inherited_rungs(left.to_vec());
+    director.set_inherited_rungs(inherited.to_vec());
     let playing =
         |id| Input::Playing { link: ViewerLink(1), request: request(id, 0), streamer: StreamerId(0) };
     // Long after the start of all clocks, as it is in service.
@@ -25,15 +25,15 @@
 /// The new process took all sessions for such at the lowest rung, and by wanting each a rung up set it to the second
 /// lowest: 195 of 240 within a second, and half a minute until they rose again.
 #[test]
-fn sessions_that_are_handed_over_stay_at_the_rung_that_was_left() {
-    let left: Vec<_> = (1..=3).map(|id| (RequestId(id), 3)).collect();
-    assert_eq!(rungs_set_after_hand_over(&left), Vec::<usize>::new());
+fn sessions_handed_over_keep_their_rung() {
+    let inherited: Vec<_> = (1..=3).map(|id| (RequestId(id), 3)).collect();
+    assert_eq!(rungs_set_after_hand_over(&inherited), Vec::<usize>::new());
     assert!(rungs_set_after_hand_over(&[]).contains(&1), "without it they are set down: this test can fail");
 }
 
 /// What is told of rungs, and set, is what is left.
 #[test]
-fn the_estate_is_what_stands_at_the_rungs_that_were_told_and_set() {
+fn established_sessions_are_handed_over_with_their_reported_rungs() {
     let mut director = Director::new(settings(vec![class(1.0, Effect::Idempotent)]), 7, 0).expect("settings");
     let entries = (0..4).map(|i| entry(i, i)).collect();
     director.turn(0, [Input::List { scope: ListScope::Full, entries }]);
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_session_is_set_up_and_released_in_pieces() {
+fn messages_that_arrive_in_pieces_set_up_and_release_a_session() {
     let rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
@@ -45,7 +45,7 @@
 /// A hundred directors with a session or two a second each heard of no streamer within a second: nearly every
 /// set-up went on a connection of its own, at 8 points of a session's worth.
 #[test]
-fn where_a_handshake_has_a_price_a_silent_connection_is_used_again() {
+fn an_idle_connection_is_reused_where_a_handshake_has_a_cost() {
     let rig =
         Rig::with(&common::SETTINGS.replace(r#""deductions": {}"#, r#""deductions": {"handshake": 0.08}"#));
     let mut viewer = rig.viewer();
@@ -63,7 +63,7 @@
 
 /// A connection that breaks after a set-up was written proves nothing: a paid viewer is told "failed".
 #[test]
-fn a_broken_connection_is_never_called_a_refusal_of_a_paid_set_up() {
+fn a_paid_set_up_whose_connection_broke_fails_and_is_not_refused() {
     let rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xa2, "replay")).expect("written");
@@ -76,26 +76,26 @@
 /// A malformed message costs its connection; the process and all other connections go on. So does a set-up
 /// of an unknown class, which is answered.
 #[test]
-fn malformed_messages_cost_their_connection_only() {
+fn a_malformed_message_closes_only_its_connection() {
     let rig = Rig::start();
-    let (mut good, mut bad) = (rig.viewer(), rig.viewer());
-    bad.write_all(&[0xff; 64]).expect("written");
-    assert_eq!(bad.read(&mut [0; 8]).unwrap_or(0), 0, "closed");
-    good.write_all(&set_up(0xa3, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut good), (12, 0xa3, vec![58, 0, 1, 41]));
-    good.write_all(&set_up(0xa4, "seat-view")).expect("written");
+    let (mut well_formed, mut malformed) = (rig.viewer(), rig.viewer());
+    malformed.write_all(&[0xff; 64]).expect("written");
+    assert_eq!(malformed.read(&mut [0; 8]).unwrap_or(0), 0, "closed");
+    well_formed.write_all(&set_up(0xa3, "unheard-of")).expect("written");
+    assert_eq!(hear(&mut well_formed), (12, 0xa3, vec![58, 0, 1, 41]));
+    well_formed.write_all(&set_up(0xa4, "seat-view")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     streamer.write_all(b"NOT RTSP AT ALL\r\n\r\n").expect("written");
     // It may have run, but a repeat is harmless: refused at once, as the module has no other streamer.
-    let (kind, session, parameters) = hear(&mut good);
+    let (kind, session, parameters) = hear(&mut well_formed);
     assert_eq!((kind, session, &parameters[..4]), (12, 0xa4, &[58, 0, 1, 42][..]));
 }
 
 /// Connections that said nothing, half a message or nothing of use were held for good; so many of them kept
 /// all others out. What can be answered is, and no session is set up for it.
 #[test]
-fn a_viewers_connection_that_is_of_no_use_is_answered_or_closed() {
+fn an_unusable_viewer_connection_is_answered_or_closed() {
     let rig = Rig::start();
     let (silent, mut half, mut odd) = (rig.viewer(), rig.viewer(), rig.viewer());
     half.write_all(&set_up(0xb1, "replay")[..40]).expect("written");
@@ -109,11 +109,11 @@
     for mut stream in [silent, half, odd] {
         assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0, "closed");
     }
-    let crowd: Vec<_> = (0..64).map(|_| rig.viewer()).collect();
+    let waiting_connections: Vec<_> = (0..64).map(|_| rig.viewer()).collect();
     let mut good = rig.viewer();
     good.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
     assert_eq!(hear(&mut good), (53, 10, vec![58, 0, 1, 1]), "a full table makes room");
-    drop(crowd);
+    drop(waiting_connections);
     // One that goes on with what can't be used is closed after some answers.
     let mut answers = 0;
     let mut again = rig.viewer();
@@ -127,28 +127,28 @@
 /// Where hundreds connected at once, a full table closed connections that it had just taken and never read,
 /// with viewers' set-ups on them.
 #[test]
-fn a_crowd_does_not_push_out_what_was_never_read() {
+fn new_connections_do_not_evict_one_that_was_never_read() {
     let rig = Rig::start();
     rig.signal("-STOP"); // all of them wait when it goes on
     let mut good = rig.viewer();
     good.write_all(&message(52, 11, &[(58, &[0])])).expect("written");
-    let crowd: Vec<_> = (0..100).map(|_| rig.viewer()).collect();
+    let waiting_connections: Vec<_> = (0..100).map(|_| rig.viewer()).collect();
     rig.signal("-CONT");
     assert_eq!(hear(&mut good), (53, 11, vec![58, 0, 1, 1]));
-    drop(crowd);
+    drop(waiting_connections);
 }
 
 /// The bulletin is asked for what comes after the last event known, again where it broke off; a streamer that
 /// drains gets no set-up from then on.
 #[test]
-fn the_bulletin_is_resumed_and_obeyed() {
+fn the_bulletin_resumes_after_the_last_event_and_drains_apply() {
     let rig = Rig::start();
     let draining = member("s-1", rig.streamer.local_addr().expect("bound"), "terminating");
     let event = format!(r#"{{"no":2,"roster":{{"revision":2,"complete":false,"members":[{draining}]}}}}"#);
-    for (expected, said) in [("after 1", format!("{event}\n{event}\n2\n")), ("after 2", "2\n".into())] {
+    for (expected, response) in [("after 1", format!("{event}\n{event}\n2\n")), ("after 2", "2\n".into())] {
         let mut stream = accept(&rig.bulletin);
-        assert_eq!(asked_after(&stream), expected);
-        stream.write_all(said.as_bytes()).expect("written");
+        assert_eq!(requested_position(&stream), expected);
+        stream.write_all(response.as_bytes()).expect("written");
     }
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xa5, "replay")).expect("written");
@@ -156,7 +156,7 @@
     assert_eq!((kind, session, &parameters[..4]), (12, 0xa5, &[58, 0, 1, 42][..]), "refused at once");
 }
 
-fn asked_after(stream: &TcpStream) -> String {
+fn requested_position(stream: &TcpStream) -> String {
     let mut line = String::new();
     BufReader::new(stream.try_clone().expect("cloned")).read_line(&mut line).expect("a line");
     line.trim().to_owned()
@@ -165,24 +165,25 @@
 /// SIGHUP ended the process. It must leave sessions and connections alone, keep the old configuration where
 /// the new one is bad, and follow the bulletin to its new address from the last event heard.
 #[test]
-fn sighup_moves_to_the_new_bulletin_and_keeps_all_else() {
+fn sighup_follows_the_new_bulletin_and_keeps_connections() {
     let mut rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
     assert_eq!(hear(&mut viewer).0, 53);
-    let mut old = accept(&rig.bulletin);
-    assert_eq!(asked_after(&old), "after 1");
-    old.write_all(b"{\"no\":2}\n2\n").expect("written");
+    let mut old_connection = accept(&rig.bulletin);
+    assert_eq!(requested_position(&old_connection), "after 1");
+    old_connection.write_all(b"{\"no\":2}\n2\n").expect("written");
     let file = rig.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("there");
     std::fs::write(&file, text.replace("at_most_once", "whenever")).expect("written");
     rig.signal("-HUP");
     next_line(&mut rig.log, "the old configuration stays");
-    let moved = listener();
-    let [was, is] = [&rig.bulletin, &moved].map(|l| l.local_addr().expect("bound").to_string());
-    std::fs::write(&file, text.replace(&was, &is)).expect("written");
+    let new_bulletin = listener();
+    let [old_address, new_address] =
+        [&rig.bulletin, &new_bulletin].map(|l| l.local_addr().expect("bound").to_string());
+    std::fs::write(&file, text.replace(&old_address, &new_address)).expect("written");
     rig.signal("-HUP");
-    assert_eq!(asked_after(&accept(&moved)), "after 2");
+    assert_eq!(requested_position(&accept(&new_bulletin)), "after 2");
     viewer.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
     assert_eq!(hear(&mut viewer), (53, 10, vec![58, 0, 1, 1]), "the connection is kept");
 }
@@ -190,7 +191,7 @@
 /// After SIGTERM connections and requests are still taken and answered; sessions that stand are released at
 /// the end, and the counters are printed, as they are on SIGUSR1.
 #[test]
-fn sigterm_ends_in_good_order() {
+fn sigterm_answers_requests_and_releases_sessions_before_exit() {
     let mut rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xa6, "replay")).expect("written");
@@ -213,7 +214,7 @@
 /// The fleet's platform lets a director have TCP and UDP over IPv4 only: a socket pair that woke the loop for
 /// signals was a Unix socket. Every socket the process holds must be an IPv4 one, and it still hears signals.
 #[test]
-fn only_ipv4_sockets_are_held() {
+fn the_process_opens_only_ipv4_sockets() {
     let mut rig = Rig::start();
     let _viewer = rig.viewer();
     let inodes = |table: &str| -> Vec<String> {
@@ -238,34 +239,34 @@
 
 /// A closed standard error costs the log, not the service.
 #[test]
-fn a_closed_log_does_not_stop_the_service() {
+fn a_closed_standard_error_does_not_stop_the_service() {
     let mut rig = Rig::start();
-    let mut none = Command::new("true").stderr(Stdio::piped()).spawn().expect("started");
-    let gone = none.stderr.take().expect("piped");
-    drop(std::mem::replace(&mut rig.log, BufReader::new(gone)));
+    let mut exited_process = Command::new("true").stderr(Stdio::piped()).spawn().expect("started");
+    let unrelated_stderr = exited_process.stderr.take().expect("piped");
+    drop(std::mem::replace(&mut rig.log, BufReader::new(unrelated_stderr)));
     let mut viewer = rig.viewer();
     rig.signal("-USR1");
     for id in 1..30 {
         viewer.write_all(&set_up(id, "unheard-of")).expect("written");
         assert_eq!(hear(&mut viewer).1, id);
     }
-    none.wait().expect("ended");
+    exited_process.wait().expect("ended");
     assert!(rig.child.try_wait().expect("asked").is_none(), "it still runs");
 }
 
 /// A director that can't start says why in one plain line.
 #[test]
-fn a_bad_configuration_is_one_line_and_a_failure() {
+fn a_bad_configuration_exits_with_one_line_of_error() {
     let file = std::env::temp_dir().join(format!("stonewharf-test-bad-{}.json", std::process::id()));
     std::fs::write(&file, "{\"name\":7}").expect("written");
     for config in [Some(file.as_path()), Some(std::path::Path::new("/nowhere/at/all.json")), None] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_stonewharf"));
         command.env_remove("LB_CONFIG");
         config.map(|file| command.env("LB_CONFIG", file));
-        let out = command.output().expect("ran");
-        let said = String::from_utf8_lossy(&out.stderr).to_string();
-        assert!(!out.status.success());
-        assert!(said.starts_with("stonewharf: ") && said.lines().count() == 1, "{said}");
+        let output = command.output().expect("ran");
+        let stderr = String::from_utf8_lossy(&output.stderr).to_string();
+        assert!(!output.status.success());
+        assert!(stderr.starts_with("stonewharf: ") && stderr.lines().count() == 1, "{stderr}");
     }
     let _ = std::fs::remove_file(file);
 }
