--- a/benches/turn.rs
+++ b/benches/turn.rs
@@ -1,5 +1,7 @@
-//! Time of a turn of the loop that finds nothing to do, with the fleet off and on, as a ratio within one run, and
-//! what the fleet itself costs a director with 300 peers, in the model. `cargo bench --bench turn`.
+//! Duration of an idle turn of the event loop with the fleet subsystem off and on, as a ratio within one run,
+//! and the cost of the fleet subsystem for each of 300 directors in the model.
+//!
+//! Run with `cargo bench --bench turn`.
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use stonewharf::net::Node;
@@ -7,9 +9,12 @@
 
 const TURNS_PER_ROUND: u32 = 20_000;
 const ROUNDS: usize = 7;
+/// Size of the modelled fleet.
 const DIRECTORS: usize = 300;
+/// Modelled time, in seconds.
 const MODEL_SECONDS: f64 = 20.0;
 
+/// Starts a node on the example configuration with the given operator settings.
 fn start_node(operator_settings: &str, name: &str) -> Node {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let config = include_str!("../examples/config.json").replace("127.0.0.1:2905", "127.0.0.1:0");
@@ -17,18 +22,18 @@
         (folder.join(format!("{name}.json")), folder.join(format!("{name}.hcl")));
     std::fs::write(&config_file, config).expect("written");
     std::fs::write(&operator_file, operator_settings).expect("written");
-    let config = Config::from_file(&config_file).expect("right");
+    let config = Config::from_file(&config_file).expect("valid configuration");
     let log = slog::Logger::root(slog::Discard, slog::o!());
     Node::with_operator(&config, Some(&operator_file), log).expect("starts")
 }
 
-/// The median time of a turn over some rounds, nanoseconds.
+/// Returns the median duration of a turn over all rounds, in nanoseconds.
 fn median_turn_ns(node: &mut Node) -> f64 {
     let mut times: Vec<f64> = (0..ROUNDS)
         .map(|_| {
             let started = Instant::now();
             for _ in 0..TURNS_PER_ROUND {
-                node.turn(Some(Duration::ZERO)).expect("goes on");
+                node.turn(Some(Duration::ZERO)).expect("the turn succeeds");
             }
             started.elapsed().as_nanos() as f64 / f64::from(TURNS_PER_ROUND)
         })
--- a/crates/core/src/director/counters.rs
+++ b/crates/core/src/director/counters.rs
@@ -1,20 +1,22 @@
-//! What the director takes in, sends and answers, counted for its operators. The core and the transport count
-//! in the same places; whoever shows metrics reads them from the [`MetricsRegistry`] that hold these.
+//! Counters of the requests, sessions, messages and connections of a director, for its operators.
+//!
+//! The core and the transport increment the same counters. Whoever displays them reads the
+//! [`MetricsRegistry`] in which they are registered.
 use super::metrics::{Counter, MetricsRegistry};
 use std::fmt;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// Counts since the start. A clone counts in the same places.
+        /// Counters since the start of the process. Clones share the values.
         #[derive(Clone, Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Final answers by class, in the order of the settings.
+            /// Final answers of each class, in the order of the settings.
             pub operations: Vec<ClassOutcomes>,
         }
 
         impl Counters {
-            /// Counters at zero that metrics show under their own names, with those of each class.
+            /// Registers a counter under each field's name, and the counters of each class.
             pub fn registered_in(metrics: &MetricsRegistry, classes: &[String]) -> Counters {
                 Counters {
                     $($name: metrics.counter(stringify!($name)),)*
@@ -38,14 +40,14 @@
     };
 }
 
-/// Final answers to requests of one class.
+/// Counters of the final answers to requests of one class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassOutcomes {
-    /// Answered with a session that stands.
+    /// Requests answered with an established session.
     pub fulfilled: Counter,
-    /// Refused.
+    /// Requests refused.
     pub throttled: Counter,
-    /// Failed.
+    /// Requests answered as failed.
     pub faulted: Counter,
 }
 
@@ -61,86 +63,86 @@
 }
 
 counters! {
-    /// Requests taken from viewers.
+    /// Requests received from viewers.
     taken,
-    /// Sessions handed over as playing already.
+    /// Sessions handed over to this director while they were playing.
     handed_over,
-    /// Set-ups passed to streamers, further attempts among them.
+    /// Set-ups passed on for sending to streamers, including further attempts.
     sent,
-    /// Set-ups written whole to streamers.
+    /// Set-ups completely written to streamers.
     relayed,
-    /// Attempts after a request's first.
+    /// Attempts after the first one of a request.
     sent_again,
-    /// Set-ups that could not be used, answered as failed: unreadable, out of range, or under a taken number.
+    /// Unusable set-ups, answered as failed: malformed, out of range, or with a number already in use.
     unusable,
-    /// Requests answered with a session that stands.
+    /// Requests answered with an established session.
     served,
     /// Requests refused.
     refused,
     /// Requests answered as failed.
     failed,
-    /// Requests that their viewers gave up before the answer.
+    /// Requests cancelled by their viewers before the answer.
     left_early,
-    /// Sessions ended because the answer that they stand could not be passed on whole.
+    /// Sessions ended because their success answer could not be delivered in full.
     undelivered,
-    /// Attempts that streamers turned away as full.
+    /// Attempts rejected by streamers that were full.
     full,
     /// Attempts that streamers answered with an error.
     errors,
-    /// Attempts that ran out of time.
+    /// Attempts that timed out.
     timed_out,
-    /// Attempts without a connection.
+    /// Attempts for which no connection could be established.
     no_connection,
-    /// Attempts that broke under way.
+    /// Attempts whose connection broke while they were outstanding.
     broken,
-    /// Attempts whose connection brought what can't be read.
+    /// Attempts whose connection carried data that could not be parsed.
     spoilt,
-    /// Attempts withdrawn before a byte of them was sent.
+    /// Attempts withdrawn before any byte of them was sent.
     withdrawn,
-    /// Answers that came after their attempt was given up.
+    /// Answers received after their attempt was cancelled.
     late_answers,
-    /// Sessions that came to their end.
+    /// Sessions that ran to completion.
     ended,
-    /// Sessions that were cut.
+    /// Sessions that were cut off.
     cut,
     /// Sessions ended by their viewers.
     viewer_ended,
-    /// Sessions moved.
+    /// Sessions moved away from their streamer.
     moved,
-    /// Changes of rung while a session played.
+    /// Rung changes of established sessions.
     rung_changes,
-    /// Notes on sessions that play.
+    /// Status notes received on established sessions.
     notes,
-    /// Load tests sent.
+    /// Load probes sent.
     probes,
-    /// Load tests without a good answer.
+    /// Load probes without a successful answer.
     probes_failed,
-    /// Changes of the list of streamers.
+    /// Changes of the streamer list.
     list_changes,
-    /// Messages for sessions that are not held.
+    /// Messages for sessions that the ledger does not know.
     strays,
-    /// Connections taken from viewers.
+    /// Connections accepted from viewers.
     viewer_connections,
-    /// Connections from viewers closed for their silence, or to make room.
+    /// Viewer connections closed because they were idle, or to make room.
     viewers_shed,
-    /// Connections from viewers closed to send them away.
+    /// Viewer connections closed while the director sends its clients away.
     viewers_sent_away,
-    /// Calls taken at the operators' door.
+    /// Calls received on the admin interface.
     calls,
-    /// Connections at the operators' door closed without a call that could be answered.
+    /// Admin connections closed without a call that could be answered.
     calls_unusable,
     /// Connections opened to streamers.
     streamer_connections,
-    /// Connections to streamers that never came up.
+    /// Connections to streamers that could not be established.
     dials_failed,
-    /// Connections ended for a malformed or oversized message.
+    /// Connections closed because of a malformed or oversized message.
     malformed,
     /// Connections closed because their peer did not read.
     overfull,
-    /// Times that no descriptor was left to take a connection.
+    /// Times that no file descriptor was left to accept a connection.
     descriptors_out,
-    /// Configurations read again.
+    /// Configuration reloads.
     reloads,
-    /// Breaks of the bulletin.
+    /// Interruptions of the discovery bulletin.
     bulletin_breaks,
 }
--- a/crates/core/src/director/deadlines.rs
+++ b/crates/core/src/director/deadlines.rs
@@ -1,9 +1,10 @@
-//! All deadlines of the program in one sorted structure, swept once a turn.
+//! Deadlines of the whole program in one sorted set, which is polled once a turn.
 use crate::interface::Micros;
 use std::collections::BTreeSet;
 
-/// Deadlines of any kind, by time. One that no longer matters may stay: whoever set it sees that when it
-/// comes due.
+/// A set of deadlines of any kind `K`, sorted by time.
+///
+/// A deadline that no longer matters need not be removed: whoever set it checks that when it is due.
 #[derive(Debug)]
 pub struct Deadlines<K: Ord> {
     sorted: BTreeSet<(Micros, K)>,
@@ -16,12 +17,12 @@
 }
 
 impl<K: Ord> Deadlines<K> {
-    /// Sets a deadline; the same one at the same time counts once.
+    /// Adds a deadline. Adding an equal one for the same time has no effect.
     pub fn set(&mut self, at: Micros, deadline: K) {
         self.sorted.insert((at, deadline));
     }
 
-    /// Takes the earliest one that is due.
+    /// Removes and returns the earliest deadline if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<K> {
         if self.sorted.first()?.0 > now {
             return None;
@@ -29,7 +30,7 @@
         self.sorted.pop_first().map(|(_, deadline)| deadline)
     }
 
-    /// When the next one is due.
+    /// Returns the time of the earliest deadline.
     pub fn next_due(&self) -> Option<Micros> {
         self.sorted.first().map(|(at, _)| *at)
     }
--- a/crates/core/src/director/lifecycle.rs
+++ b/crates/core/src/director/lifecycle.rs
@@ -1,77 +1,86 @@
-//! Where a director stands with its clients: it serves them, sends them away for a while, or comes to its
-//! end. It owns the states and what each allows; it closes nothing and answers nobody.
+//! Lifecycle of a director towards its clients: serving, lame duck or stopping.
 //!
-//! | state | test at the clients' address | connections without an open request | sessions |
+//! This module holds the states and what each of them permits. It closes no connections and answers no
+//! requests itself.
+//!
+//! | state | health check | connections without a pending request | sessions |
 //! | --- | --- | --- | --- |
-//! | serving | passed | kept | - |
-//! | sending away | failed at once | closed once the front heard; with sessions, as it looks | stay |
-//! | ending | failed at once | closed once the front heard; with sessions, at the end | cut at the end |
-//! | ending, an heir serves | failed at once | closed at once, no new ones taken | left to the heir |
+//! | serving | passes | kept | - |
+//! | lame duck | fails at once | closed after a delay; with sessions, shortly before the check | kept |
+//! | stopping | fails at once | closed after a delay; with sessions, at the end | cut off at the end |
+//! | stopping with a successor | fails at once | closed at once, none accepted | left to the successor |
+//!
+//! The health check is the front end's, at the clients' address. The delay lets the front end notice that it
+//! fails. "The check" is the one by which no connection may be in use any more.
 //!
-//! Connections with sessions are kept for as long as can be, since the end of a session has to reach its
-//! viewer, and while clients are sent away no new connection comes on which it could.
+//! Connections with sessions are kept as long as possible: the end of a session has to reach its viewer, and
+//! in the lame-duck state no new connection arrives on which it could be sent.
 use crate::interface::Micros;
 
-/// The front asks ten times a second and sends new connections for 0.2 s more; at a planned restart they come
-/// for 0.4 s. Whoever is sent away sooner only comes back.
+/// Delay before unused connections are closed.
+///
+/// The front end runs a health check ten times a second and sends new connections for another 0.2 s; at a
+/// planned restart they arrive for 0.4 s. A client that is disconnected sooner only reconnects here.
 const UNUSED_CLOSE_DELAY_US: Micros = 500_000;
-/// The front looks 4 s after the call: no connection may be in use then. What ends a session after this waits
-/// for the connections that come when clients are taken again.
+/// Delay before all connections without a pending request are closed.
+///
+/// The front end checks 4 s after the lame-duck call that no connection is in use. Notifications of sessions
+/// that end after this delay wait for the connections that arrive once clients are accepted again.
 const CLOSE_ALL_DELAY_US: Micros = 3_700_000;
-/// From here on nothing waits any longer.
+/// Delay before requests that are still pending are answered.
 const EXPIRE_PENDING_DELAY_US: Micros = 3_880_000;
-/// Between looks at what is still open.
+/// Interval at which [`Lifecycle::poll`] is to be called.
 const POLL_INTERVAL_US: Micros = 20_000;
 
-/// What a director does with its clients.
+/// State of a director towards its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// It serves them.
+    /// Clients are served.
     Serving,
-    /// It sends them away, and serves what comes all the same, until told otherwise.
+    /// Clients are sent away until the state is revoked. Requests that still arrive are served.
     LameDuck {
-        /// Since when.
+        /// When the state was entered.
         since: Micros,
-        /// What is open has been hurried.
+        /// Whether pending requests have been expired already.
         pending_expired: bool,
     },
-    /// It comes to its end.
+    /// The process is shutting down.
     Stopping {
-        /// Since when.
+        /// When the state was entered.
         since: Micros,
     },
 }
 
-/// Why a call about the director's duty can't be followed.
+/// Why a lifecycle call was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LifecycleError {
-    /// The process comes to its end.
-    #[error("this process comes to its end and takes no clients again; ask the one that serves after it")]
+    /// The process is shutting down.
+    #[error("this process is shutting down and accepts no more clients; ask the one that serves after it")]
     Stopping,
 }
 
-/// Which connections are closed of those without an open request.
+/// Which of the connections without a pending request are to be closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CloseScope {
     /// None.
     #[default]
     None,
-    /// Those on which no session stands.
+    /// Those that no established session uses.
     Unused,
     /// All.
     All,
 }
 
-/// What is to be done about the clients now.
+/// What is to be done about clients now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientActions {
-    /// Which connections without an open request are closed.
+    /// Which connections without a pending request to close.
     pub close: CloseScope,
-    /// What is open is answered now.
+    /// Whether to answer all pending requests now.
     pub expire_pending: bool,
 }
 
-/// The duty of one director.
+/// Lifecycle state machine of one director.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     state: LifecycleState,
@@ -80,23 +89,25 @@
 }
 
 impl Lifecycle {
-    /// A director that serves. It has so long from when it is told to end; with a successor, the platform has
-    /// another process of the same director take over then.
+    /// Creates the lifecycle of a serving director.
+    ///
+    /// `grace_us` is the time that it has from the stop request to its exit. With `has_successor`, the
+    /// platform has another process of the same director take over at the stop request.
     pub fn new(grace_us: Micros, has_successor: bool) -> Self {
         Lifecycle { state: LifecycleState::Serving, grace_us, has_successor }
     }
 
-    /// What it does now.
+    /// Returns the current state.
     pub fn state(&self) -> LifecycleState {
         self.state
     }
 
-    /// Whether it takes clients: what a test and the readiness call answer.
+    /// Returns whether clients are accepted, as answered to health checks and the readiness call.
     pub fn accepts_clients(&self) -> bool {
         self.state == LifecycleState::Serving
     }
 
-    /// Sends clients away (`on`), or takes them again. Saying it twice changes nothing.
+    /// Enters the lame-duck state (`enabled`), or leaves it. Repeating a call has no effect.
     pub fn set_lame_duck(&mut self, now: Micros, enabled: bool) -> Result<(), LifecycleError> {
         match (self.state, enabled) {
             (LifecycleState::Stopping { .. }, _) => return Err(LifecycleError::Stopping),
@@ -109,7 +120,7 @@
         Ok(())
     }
 
-    /// It is told to end; false where it was told before.
+    /// Starts the shutdown. Returns false if it had been started before.
     pub fn stop(&mut self, now: Micros) -> bool {
         let newly_stopping = !self.is_stopping();
         if newly_stopping {
@@ -118,22 +129,22 @@
         newly_stopping
     }
 
-    /// Whether it comes to its end.
+    /// Returns whether the process is shutting down.
     pub fn is_stopping(&self) -> bool {
         matches!(self.state, LifecycleState::Stopping { .. })
     }
 
-    /// Whether new connections are taken. With an heir they are the heir's.
+    /// Returns whether new connections are accepted. During shutdown a successor accepts them instead.
     pub fn accepts_connections(&self) -> bool {
         !(self.has_successor && self.is_stopping())
     }
 
-    /// Whether sessions that stand are left to an heir at the end, and not cut.
+    /// Returns whether established sessions are left to a successor at the end instead of being cut off.
     pub fn hands_over_sessions(&self) -> bool {
         self.has_successor
     }
 
-    /// When it must have come to its end.
+    /// Returns the time by which the process must have exited, once it is shutting down.
     pub fn stop_deadline(&self) -> Option<Micros> {
         match self.state {
             LifecycleState::Stopping { since } => Some(since.saturating_add(self.grace_us)),
@@ -141,7 +152,7 @@
         }
     }
 
-    /// What is to be done about the clients now; each expiry is requested once.
+    /// Returns what is to be done about clients now. Expiry is requested once per lame-duck period.
     pub fn poll(&mut self, now: Micros) -> ClientActions {
         let elapsed = |since: Micros, span: Micros| since.saturating_add(span) <= now;
         match &mut self.state {
@@ -166,12 +177,12 @@
         }
     }
 
-    /// How long until it has to be asked again; `None` while nothing can change by time.
+    /// Returns the time until the next poll; `None` while time alone changes nothing.
     pub fn poll_interval(&self) -> Option<Micros> {
         (self.state != LifecycleState::Serving).then_some(POLL_INTERVAL_US)
     }
 
-    /// Whether the end can come early: with a successor, once no client has anything open here.
+    /// Returns whether the process may exit early: with a successor, once no client has anything open here.
     pub fn may_stop_early(&self, open_clients: usize) -> bool {
         self.has_successor && self.is_stopping() && open_clients == 0
     }
--- a/crates/core/src/director/messages.rs
+++ b/crates/core/src/director/messages.rs
@@ -1,238 +1,244 @@
-//! What goes into the director's ledger each turn and what comes out of it. No bytes, no sockets: what is
-//! passed on unread travels as a [`Parcel`] or a [`Description`].
+//! Inputs and outputs of the director's session ledger.
+//!
+//! They hold neither encoded messages nor sockets. Payloads that the director forwards without interpreting
+//! them are carried as a [`Parcel`] or a [`Description`].
 use crate::interface::*;
 use std::rc::Rc;
 
-/// Names a connection from viewers; given out by the transport.
+/// Identifies a viewer connection. The transport assigns the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ViewerLink(pub usize);
 
-/// What a viewer's set-up carries that is passed on to a streamer unread.
+/// The part of a viewer's set-up that is forwarded to a streamer without being interpreted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Parcel {
-    /// The class, as the viewer named it.
+    /// Class name as sent by the viewer.
     pub class: String,
-    /// The title, as the viewer named it.
+    /// Title name as sent by the viewer.
     pub title: String,
-    /// The description that came with the set-up.
+    /// Session description from the set-up request.
     pub description: Vec<u8>,
 }
 
-/// A streamer's description of a session that stands, passed on unread.
+/// A streamer's description of an established session, forwarded without being interpreted.
 pub type Description = Vec<u8>;
 
-/// One attempt of a session.
+/// Identifies one attempt to set up a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attempt {
-    /// Which session.
+    /// The session.
     pub session: RequestId,
-    /// Its number, from 0.
+    /// Sequence number of the attempt within the session, from 0.
     pub number: u32,
 }
 
-/// Why an attempt never left.
+/// Why no byte of an attempt was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsentReason {
-    /// No connection to the streamer came up.
+    /// No connection to the streamer could be established.
     NoConnection,
-    /// The streamer was no longer up when the attempt's turn came, or no descriptor was left for it.
+    /// The streamer was no longer up when the attempt was due to be sent, or no file descriptor was left.
     Withdrawn,
 }
 
-/// Why a session that stood is over.
+/// Why an established session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionEnd {
-    /// It came to its end.
+    /// It ran to completion.
     Ended,
-    /// It was cut: by its streamer, or since its streamer is lost.
+    /// It was cut off, by its streamer or because its streamer was lost.
     Cut,
-    /// Its viewer ended it, or it was moved: the viewer is owed nothing.
+    /// Its viewer ended it, or it was moved; the viewer needs no notification.
     Left,
 }
 
-/// A deadline of the ledger's.
+/// Kinds of deadline that the ledger sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeadlineKind {
-    /// The module's timer.
+    /// A timer of the decision module.
     Timer(TimerTag),
-    /// The time of an attempt is up.
+    /// An attempt timed out.
     Attempt(Attempt),
-    /// The viewer's time is up.
+    /// The time limit for the viewer's final answer has passed.
     Answer(RequestId),
 }
 
-/// What the ledger hears.
+/// An event that the ledger processes.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// News of the list of streamers.
+    /// An update of the streamer list.
     List {
-        /// How the list is meant.
+        /// How the entries relate to the whole list.
         scope: ListScope,
-        /// Its entries.
+        /// The entries.
         entries: Vec<Entry>,
     },
-    /// A viewer wants a session.
+    /// A viewer requests a session.
     Wanted {
-        /// Where the request came from.
+        /// The connection that the request came on.
         link: ViewerLink,
         /// The request.
         request: Request,
-        /// What is passed on with it.
+        /// The payload to forward with it.
         parcel: Rc<Parcel>,
     },
-    /// A session is handed over that plays at a streamer already.
+    /// A session that already plays at a streamer is handed over to this director.
     Playing {
-        /// Where the request came from.
+        /// The connection that the request came on.
         link: ViewerLink,
         /// The request.
         request: Request,
-        /// Where it plays.
+        /// The streamer that plays it.
         streamer: StreamerId,
     },
-    /// A set-up came that can't be used.
+    /// A set-up request was received that is unusable.
     Unusable(ViewerLink, RequestId),
-    /// A viewer gave its set-up up, or ended its session.
+    /// A viewer cancelled its set-up or ended its session.
     ViewerLeft(ViewerLink, RequestId),
-    /// A connection from viewers is gone.
+    /// A viewer connection was lost.
     LinkLost(ViewerLink),
-    /// The answer that this session stands could not be passed on whole: its viewer's connection is gone.
+    /// The success answer of this session could not be delivered in full because the viewer's connection
+    /// was lost.
     Undelivered(RequestId),
-    /// The answer that this session stands was written, and may not have been read: its viewer's connection
-    /// was reset right after it.
+    /// The success answer of this session was written but may not have been read: the viewer's connection
+    /// was reset immediately afterwards.
     Unread(RequestId),
-    /// A streamer answered that the session stands.
+    /// A streamer reported that the session is established.
     Stands {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// Which session.
+        /// The session.
         session: RequestId,
-        /// The attempt that is open on the connection of the answer, if any.
+        /// Number of the attempt that is open on the connection of the answer, if any.
         number: Option<u32>,
-        /// What the viewer is to be told.
+        /// The description to forward to the viewer.
         description: Description,
     },
-    /// A streamer turned an attempt away.
+    /// A streamer rejected an attempt.
     TurnedAway {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// Which session.
+        /// The session.
         session: RequestId,
-        /// The attempt that is open on the connection of the answer, if any.
+        /// Number of the attempt that is open on the connection of the answer, if any.
         number: Option<u32>,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The load report that came along.
+        /// Load report from the same message.
         report: LoadReport,
     },
-    /// Not a byte of this attempt has left, and none will.
+    /// No byte of this attempt has been sent, and none will be.
     Unsent(Attempt, UnsentReason),
-    /// The give-up of this attempt has been written, or its connection was closed.
+    /// The cancellation of this attempt was written, or its connection was closed.
     GaveUp(Attempt),
-    /// The connection broke on which this attempt was out.
+    /// The connection broke while this attempt was outstanding on it.
     Broken(Attempt),
-    /// The connection on which this attempt was out had to be closed: what came on it can't be read.
+    /// The connection on which this attempt was outstanding was closed because it carried data that could
+    /// not be parsed.
     Spoilt(Attempt),
     /// A streamer released a session.
     Released {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// Which session.
+        /// The session.
         session: RequestId,
-        /// The attempt that is open on the connection of the release, if any.
+        /// Number of the attempt that is open on the connection of the release, if any.
         number: Option<u32>,
-        /// Why.
+        /// Why it ended.
         why: SessionEnd,
-        /// What the viewer is to be told of a session that ended as it began; else empty.
+        /// The description for the viewer if the session ended as soon as it was established; else empty.
         description: Description,
-        /// The load report that came along.
+        /// Load report from the same message.
         report: LoadReport,
     },
-    /// A streamer heard that a session is to be ended: it is over there. Nothing changes here.
+    /// A streamer acknowledged the release of a session, which has ended there. The ledger does not change.
     DropHeard(RequestId),
-    /// These sessions are another director's: they are forgotten, and nothing of them is touched.
+    /// These sessions now belong to another director. The ledger removes them without ending the established
+    /// ones at their streamers.
     LaidDown(Vec<RequestId>),
-    /// A streamer is lost, and its sessions with it.
+    /// A streamer was lost together with its sessions.
     Lost(StreamerId),
-    /// A connection to a streamer came up, or did not.
+    /// A connection attempt to a streamer succeeded or failed.
     Contact {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// Whether it came up.
+        /// Whether it succeeded.
         up: bool,
     },
-    /// A note on a session that stands.
+    /// A streamer sent a status note on an established session.
     Noted {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// Which session.
+        /// The session.
         session: RequestId,
-        /// What it tells.
+        /// What the note reports.
         kind: NoteKind,
-        /// Its value.
+        /// The reported value.
         value: f64,
     },
-    /// A load test's result.
+    /// A load probe completed.
     Probed {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// The load report that came along.
+        /// Load report from the same message.
         report: LoadReport,
     },
-    /// Nothing may wait any longer: what is open is given up and answered.
+    /// No request may wait any longer: pending requests are cancelled and answered.
     Hurry,
-    /// A deadline of the ledger's has come.
+    /// A deadline that the ledger set has passed.
     Due(DeadlineKind),
 }
 
-/// A set-up that is passed on to a streamer.
+/// A set-up request to send to a streamer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUp {
-    /// Which streamer.
+    /// The streamer.
     pub streamer: StreamerId,
-    /// Which attempt.
+    /// The attempt.
     pub attempt: Attempt,
     /// The rung to start at.
     pub rung: usize,
-    /// Until when the director waits.
+    /// When the director stops waiting for the answer.
     pub until: Micros,
-    /// Its first byte must have left by then, or it is not sent at all: later the streamers may no longer
-    /// recognise it as a repeat of an earlier attempt. [`Micros::MAX`] where nothing can be repeated.
+    /// Latest time to send the first byte; after that the set-up is not sent at all, because the streamers
+    /// may no longer recognise it as a repeat of an earlier attempt. [`Micros::MAX`] if there is nothing that
+    /// it could repeat.
     pub send_by: Micros,
-    /// What is passed on.
+    /// The payload to forward.
     pub parcel: Rc<Parcel>,
 }
 
-/// What the ledger wants done, in order.
+/// An operation for the transport. Outputs are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Answer: the session stands.
+    /// Answer the viewer: the session is established.
     Answer(ViewerLink, RequestId, Description),
-    /// Answer: refused; the viewer should stay away for so long.
+    /// Answer the viewer: refused. It should not retry before this time has passed.
     Refuse(ViewerLink, RequestId, Micros),
-    /// Answer: failed.
+    /// Answer the viewer: failed.
     Fail(ViewerLink, RequestId),
-    /// Answer: failed, since the set-up could not be used; that speaks against its connection.
+    /// Answer the viewer: failed because the set-up was unusable. This counts against its connection.
     Spurn(ViewerLink, RequestId),
-    /// Tell the viewer that its session is over.
+    /// Tell the viewer that its session has ended.
     Release(ViewerLink, RequestId, SessionEnd),
-    /// Tell the viewer to come again.
+    /// Tell the viewer to request the session again.
     MoveOff(ViewerLink, RequestId),
-    /// Pass the set-up on to a streamer.
+    /// Send the set-up to a streamer.
     SetUp(SetUp),
-    /// Give an attempt up; [`Input::GaveUp`] or [`Input::Unsent`] tells when that is done.
+    /// Cancel an attempt. [`Input::GaveUp`] or [`Input::Unsent`] reports completion.
     GiveUp(StreamerId, Attempt),
     /// Release a session at a streamer.
     Drop(StreamerId, RequestId),
-    /// Set the rung of a session that plays.
+    /// Set the rung of a session that is playing.
     Rung(StreamerId, RequestId, usize),
-    /// Ask a streamer for its load.
+    /// Send a load probe to a streamer.
     Probe(StreamerId),
-    /// A session stands there: what concerns it must be able to come in.
+    /// Keep the streamer reachable: it has an established session, whose messages must be able to arrive.
     Attend(StreamerId),
     /// Set a deadline.
     Wake(Micros, DeadlineKind),
-    /// A line for the operators.
+    /// Write a log line for operators.
     Log(String),
 }
--- a/crates/core/src/director/metrics.rs
+++ b/crates/core/src/director/metrics.rs
@@ -1,8 +1,11 @@
-//! The figures of a director: counts and levels by name, and the text that shows them. It owns the places;
-//! who counts what is the counters' matter, and who may read them the transport's.
+//! Metrics of a director: named counters and gauges, and their text format.
 //!
-//! The places are those of the `metrics` family of libraries, since its registry can be walked and so shown
-//! in any form; `prometheus-client` writes the OpenMetrics text alone, which is not what is asked for here.
+//! The registry owns the values. The counters module defines what is counted, and the transport decides who
+//! may read it.
+//!
+//! Values are stored in the registry of the `metrics` family of crates because that registry can be iterated
+//! and thus written in any format; `prometheus-client` writes only the OpenMetrics text format, which is not
+//! the one required here.
 use metrics::Key;
 use metrics_util::registry::{AtomicStorage, Registry};
 use std::collections::BTreeMap;
@@ -11,15 +14,15 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What stands before every name.
+/// Prefix of every metric name in the text format.
 const NAME_PREFIX: &str = "svc";
 
-/// One count, from 0. A clone counts in the same place.
+/// A counter that starts at 0. Clones share the value.
 #[derive(Clone, Debug, Default)]
 pub struct Counter(Arc<AtomicU64>);
 
 impl Counter {
-    /// What has been counted.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -31,7 +34,7 @@
     }
 }
 
-/// All figures of one director.
+/// The metrics of one director.
 pub struct MetricsRegistry {
     registry: Registry<Key, AtomicStorage>,
 }
@@ -43,13 +46,13 @@
 }
 
 impl MetricsRegistry {
-    /// The count of a name; the same one for the same name.
+    /// Returns the counter with this name. All counters of one name share the value.
     pub fn counter(&self, name: &str) -> Counter {
         let key = Key::from_name(name.to_owned());
         self.registry.get_or_create_counter(&key, |cell| Counter(Arc::clone(cell)))
     }
 
-    /// States a level as it is now.
+    /// Sets a gauge to its current value.
     pub fn set_gauge(&self, name: &'static str, value: usize) {
         let key = Key::from_static_name(name);
         self.registry.get_or_create_gauge(&key, |gauge| {
@@ -57,7 +60,7 @@
         });
     }
 
-    /// All figures as lines `svc.NAME=VALUE`, whole numbers, by name.
+    /// Renders all metrics as lines `svc.NAME=VALUE` with integer values, sorted by name.
     pub fn render(&self) -> String {
         let mut all = BTreeMap::new();
         self.registry.visit_counters(|key, cell| {
@@ -68,7 +71,7 @@
         });
         let mut text = String::new();
         for (name, value) in all {
-            let _ = writeln!(text, "{NAME_PREFIX}.{name}={value}"); // writing into a string does not fail
+            let _ = writeln!(text, "{NAME_PREFIX}.{name}={value}"); // writing to a string cannot fail
         }
         text
     }
--- a/crates/core/src/director/mod.rs
+++ b/crates/core/src/director/mod.rs
@@ -1,5 +1,6 @@
-//! The real director's core: the decision module with the session ledger round it. It does no I/O and reads
-//! no clock, so that any platform's front can be set before it.
+//! The core of a director: the decision module and the session ledger around it.
+//!
+//! The core does no I/O and reads no clock, so that the transport of any platform can drive it.
 mod counters;
 mod deadlines;
 mod ledger;
@@ -26,7 +27,7 @@
 }
 
 impl Director {
-    /// A director at its start.
+    /// Creates a director without sessions. `seed` initialises the decision module's random numbers.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         let ledger = Ledger::new(&settings);
         let counters = Counters {
@@ -37,23 +38,25 @@
         Ok(Director { controller: Controller::new(settings, seed, now)?, ledger, outbox })
     }
 
-    /// This director with a subsystem's limits on the module's choice, from its start on.
+    /// Adds limits that a subsystem places on the decisions. To be called before the first turn.
     pub fn with_limits(self, limits: Box<dyn Limits>) -> Self {
         Director { controller: self.controller.limited(limits), ..self }
     }
 
-    /// This director, counting in these counters from its start on.
+    /// Replaces the counters. To be called before the first turn.
     pub fn with_counters(mut self, counters: Counters) -> Self {
         self.outbox.counters = counters;
         self
     }
 
-    /// One turn: books all that has come in, hands it to the module in one go, returns what is to be done.
+    /// Runs one turn: records all inputs in the ledger, passes the resulting events to the decision module
+    /// as one batch, and returns the operations to carry out.
     pub fn turn(&mut self, now: Micros, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         for input in inputs {
             self.ledger.handle_input(now, input, &mut self.outbox);
         }
-        // A second round only where an action found its request gone: the module is told that it was ignored.
+        // A second pass happens only if an action concerned a request that no longer exists: the module is
+        // then told that the action was ignored.
         while !self.outbox.events.is_empty() {
             let mut actions = Vec::new();
             for event in std::mem::take(&mut self.outbox.events) {
@@ -66,14 +69,15 @@
         std::mem::take(&mut self.outbox.outputs)
     }
 
-    /// Ends everything at the director's own end; what stands is left standing where an heir takes it over.
+    /// Ends all requests and sessions at shutdown. With `hand_over`, established sessions keep playing
+    /// because a successor process takes them over.
     pub fn close(&mut self, hand_over: bool) -> Vec<Output> {
         self.ledger.close(hand_over, &mut self.outbox);
         self.outbox.events.clear();
         std::mem::take(&mut self.outbox.outputs)
     }
 
-    /// One turn after [`Director::close`]: requests are refused at once, and nothing is begun.
+    /// Runs one turn after [`Director::close`]: requests are refused at once, and nothing new is started.
     pub fn turn_after_close(&mut self, inputs: Vec<Input>, hand_over: bool) -> Vec<Output> {
         inputs
             .into_iter()
@@ -81,47 +85,48 @@
         std::mem::take(&mut self.outbox.outputs)
     }
 
-    /// What is left to an heir: the sessions that stand, and their rungs.
+    /// Returns the established sessions and their rungs, for the successor process.
     pub fn sessions_to_hand_over(&self) -> Vec<(RequestId, usize)> {
         self.ledger.session_rungs()
     }
 
-    /// Takes what the process before this one left, for when its sessions are handed over.
+    /// Stores the rungs that the predecessor process recorded. They apply once its sessions are handed over.
     pub fn set_inherited_rungs(&mut self, rungs: Vec<(RequestId, usize)>) {
         self.ledger.restore_rungs(rungs);
     }
 
-    /// Whether a session is on the books: a request that is open, or one that stands.
+    /// Returns whether the ledger knows a session: a pending request or an established session.
     pub fn holds(&self, session: RequestId) -> bool {
         self.ledger.contains(session)
     }
 
-    /// How many sessions stand at a streamer.
+    /// Returns the number of established sessions at a streamer.
     pub fn sessions_at(&self, streamer: StreamerId) -> usize {
         self.ledger.established_at(streamer)
     }
 
-    /// Requests that wait for their final answer on a connection, and sessions that stand from it.
+    /// Returns the number of unanswered requests on a connection and of established sessions requested on it.
     pub fn requests_and_sessions_on(&self, link: ViewerLink) -> (usize, usize) {
         self.ledger.counts_on_link(link)
     }
 
-    /// How many requests wait for their final answer.
+    /// Returns the number of requests without a final answer.
     pub fn pending_requests(&self) -> usize {
         self.ledger.pending_requests()
     }
 
-    /// Requests taken that have not come to their end: unanswered ones, and sessions that stand.
+    /// Returns the number of accepted requests that have not ended: unanswered ones and established
+    /// sessions.
     pub fn open_requests(&self) -> usize {
         self.ledger.open_requests()
     }
 
-    /// Streamers in the list, and those of them that get no set-ups now but for trials.
+    /// Returns the number of listed streamers, and how many of them currently get only trial set-ups.
     pub fn streamer_counts(&self) -> (usize, usize) {
         self.controller.listed()
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub fn counters(&self) -> &Counters {
         &self.outbox.counters
     }
--- a/crates/core/tests/metrics.rs
+++ b/crates/core/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Tests of `metrics`.
+//! Tests of the metrics registry.
 use std::ops::AddAssign;
 use stonewharf_core::director::*;
 
--- a/tests/estate.rs
+++ b/tests/estate.rs
@@ -1,10 +1,10 @@
-//! What one process leaves to the next: the rungs of the sessions that stand.
+//! Hand-over of established sessions and their rungs from one process to its successor.
 mod common;
 use common::*;
 use stonewharf::director::{DeadlineKind, Director, Input, Output, ViewerLink};
 use stonewharf::*;
 
-/// The rungs that a director sets within 2 s of a hand-over of sessions that play at the top rung.
+/// Returns the rungs that a director sets within 2 s after sessions at the top rung are handed over to it.
 fn rungs_set_after_hand_over(inherited: &[(RequestId, usize)]) -> Vec<usize> {
     let mut director = Director::new(settings(vec![class(1.0, Effect::Idempotent)]), 7, 0).expect("settings");
     let entries = (0..4).map(|i| entry(i, i)).collect();
@@ -12,7 +12,7 @@
     director.set_inherited_rungs(inherited.to_vec());
     let playing =
         |id| Input::Playing { link: ViewerLink(1), request: request(id, 0), streamer: StreamerId(0) };
-    // Long after the start of all clocks, as it is in service.
+    // A time long after the clocks started, as in production.
     let mut outputs = director.turn(100 * S, (1..=3).map(playing));
     for tick in 1..8 {
         outputs
@@ -22,16 +22,19 @@
     outputs.iter().filter_map(rung_set).collect()
 }
 
-/// The new process took all sessions for such at the lowest rung, and by wanting each a rung up set it to the second
-/// lowest: 195 of 240 within a second, and half a minute until they rose again.
+/// Guards against the successor assuming the lowest rung for all sessions: by raising each by one rung it
+/// lowered them to the second lowest, 195 of 240 within a second, and they took half a minute to recover.
 #[test]
 fn sessions_handed_over_keep_their_rung() {
     let inherited: Vec<_> = (1..=3).map(|id| (RequestId(id), 3)).collect();
     assert_eq!(rungs_set_after_hand_over(&inherited), Vec::<usize>::new());
-    assert!(rungs_set_after_hand_over(&[]).contains(&1), "without it they are set down: this test can fail");
+    assert!(
+        rungs_set_after_hand_over(&[]).contains(&1),
+        "without inherited rungs they are lowered, so the check above can fail"
+    );
 }
 
-/// What is told of rungs, and set, is what is left.
+/// A hand-over covers the established sessions, at the rungs that were reported or set last.
 #[test]
 fn established_sessions_are_handed_over_with_their_reported_rungs() {
     let mut director = Director::new(settings(vec![class(1.0, Effect::Idempotent)]), 7, 0).expect("settings");
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,5 +1,5 @@
-//! The director on real sockets of the loopback: viewers, a streamer and the bulletin are played by hand.
-//! Every wait here ends at something that happens; the time limits are only for what never does.
+//! A director process on loopback sockets, with viewers, a streamer and the bulletin simulated by the test.
+//! Every wait ends with an event; the time limits only catch events that never happen.
 mod common;
 mod rig;
 use rig::*;
@@ -13,7 +13,7 @@
     let rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut viewer), (53, 9, vec![58, 0, 1, 1]), "the test is passed");
+    assert_eq!(hear(&mut viewer), (53, 9, vec![58, 0, 1, 1]), "the health check passes");
     for piece in set_up(0xa1, "replay").chunks(7) {
         viewer.write_all(piece).expect("written");
     }
@@ -25,25 +25,26 @@
         streamer.write_all(piece).expect("written");
     }
     assert_eq!(hear(&mut viewer), (9, 0xa1, [&[61, 0, 6][..], b"answer"].concat()));
-    // What ends a session may come in on any connection, and go out on any: the first viewer's is gone.
+    // A release may arrive on any connection and be sent on any: the first viewer closes its own below.
     let mut other = rig.viewer();
     other.write_all(&set_up(0xa0, "unheard-of")).expect("written");
     assert_eq!(hear(&mut other).0, 12);
-    // One on which only tests came is the front's, which reads nothing else.
+    // A connection with nothing but health checks belongs to the front end, which reads no other messages.
     let mut front = rig.viewer();
     front.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
     assert_eq!(hear(&mut front).0, 53);
-    // The end of a closed connection may come later than what is sent after it elsewhere: seen once in CI.
+    // The end of a closed connection may arrive after later data of another connection (seen once in CI).
     viewer.shutdown(Shutdown::Write).expect("shut");
-    assert_eq!(viewer.read(&mut [0]).expect("closed"), 0, "the director has closed it, too");
+    assert_eq!(viewer.read(&mut [0]).expect("closed"), 0, "the director closes it as well");
     streamer.write_all(&over(0xa1)).expect("written");
     assert_eq!(hear(&mut other), (12, 0xa1, vec![58, 0, 1, 16]));
     front.write_all(&message(52, 11, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut front).1, 11, "nothing came between");
+    assert_eq!(hear(&mut front).1, 11, "no other message arrived in between");
 }
 
-/// A hundred directors with a session or two a second each heard of no streamer within a second: nearly every
-/// set-up went on a connection of its own, at 8 points of a session's worth.
+/// Guards against opening a connection for nearly every set-up, at 8 points of a session's worth each. This
+/// happened with a hundred directors of one or two sessions a second each: none had heard from a given
+/// streamer within the last second.
 #[test]
 fn an_idle_connection_is_reused_where_a_handshake_has_a_cost() {
     let rig =
@@ -56,12 +57,13 @@
     assert_eq!(hear(&mut viewer).0, 9);
     streamer.write_all(&over(0xa5)).expect("written");
     assert_eq!(hear(&mut viewer), (12, 0xa5, vec![58, 0, 1, 16]));
-    std::thread::sleep(Duration::from_millis(1500)); // longer than "heard of lately"
+    std::thread::sleep(Duration::from_millis(1500)); // longer than a connection counts as recently active
     viewer.write_all(&set_up(0xa6, "replay")).expect("written");
     assert!(read_rtsp(&mut streamer).contains("Session: 00000000000000a6"), "on the same connection");
 }
 
-/// A connection that breaks after a set-up was written proves nothing: a paid viewer is told "failed".
+/// If the connection breaks after a set-up was written, its result is unknown: a paid viewer is answered
+/// "failed".
 #[test]
 fn a_paid_set_up_whose_connection_broke_fails_and_is_not_refused() {
     let rig = Rig::start();
@@ -73,8 +75,8 @@
     assert_eq!(hear(&mut viewer), (12, 0xa2, vec![58, 0, 1, 41]));
 }
 
-/// A malformed message costs its connection; the process and all other connections go on. So does a set-up
-/// of an unknown class, which is answered.
+/// A malformed message closes its connection; the process and all other connections continue. A set-up of an
+/// unknown class is answered, and its connection stays open.
 #[test]
 fn a_malformed_message_closes_only_its_connection() {
     let rig = Rig::start();
@@ -87,13 +89,13 @@
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     streamer.write_all(b"NOT RTSP AT ALL\r\n\r\n").expect("written");
-    // It may have run, but a repeat is harmless: refused at once, as the module has no other streamer.
+    // The set-up may have run, but a repeat is harmless: refused at once, as there is no other streamer.
     let (kind, session, parameters) = hear(&mut well_formed);
     assert_eq!((kind, session, &parameters[..4]), (12, 0xa4, &[58, 0, 1, 42][..]));
 }
 
-/// Connections that said nothing, half a message or nothing of use were held for good; so many of them kept
-/// all others out. What can be answered is, and no session is set up for it.
+/// Guards against keeping connections forever that sent nothing, a partial message or only unusable ones:
+/// many of them kept all others out. What can be answered is answered, and no session is set up for it.
 #[test]
 fn an_unusable_viewer_connection_is_answered_or_closed() {
     let rig = Rig::start();
@@ -101,7 +103,7 @@
     half.write_all(&set_up(0xb1, "replay")[..40]).expect("written");
     let out_of_range = b"home:9999;copies:1;top:1;viewer:00000000b4d65521";
     let bad = [(16, &b"replay"[..]), (28, b"7f3a"), (31, out_of_range)];
-    // What comes whole ahead of what can't be read is heard.
+    // Complete messages ahead of unreadable data are processed.
     odd.write_all(&[message(1, 0xb2, &bad), message(99, 0xb3, &[]), vec![0, 0]].concat()).expect("written");
     for id in [0xb2, 0xb3] {
         assert_eq!(hear(&mut odd), (12, id, vec![58, 0, 1, 41]));
@@ -112,24 +114,24 @@
     let waiting_connections: Vec<_> = (0..64).map(|_| rig.viewer()).collect();
     let mut good = rig.viewer();
     good.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut good), (53, 10, vec![58, 0, 1, 1]), "a full table makes room");
+    assert_eq!(hear(&mut good), (53, 10, vec![58, 0, 1, 1]), "an idle connection is closed to make room");
     drop(waiting_connections);
-    // One that goes on with what can't be used is closed after some answers.
+    // A connection that keeps sending unusable requests is closed after some answers.
     let mut answers = 0;
     let mut again = rig.viewer();
     while again.write_all(&set_up(0xb4, "unheard-of")).is_ok() && again.read(&mut [0; 17]).unwrap_or(0) > 0 {
         answers += 1;
-        assert!(answers < 100, "it is never closed");
+        assert!(answers < 100, "the connection is never closed");
     }
     assert!(answers > 1);
 }
 
-/// Where hundreds connected at once, a full table closed connections that it had just taken and never read,
-/// with viewers' set-ups on them.
+/// Guards against a full connection table closing connections that were accepted but never read, with set-ups
+/// on them. This happened when hundreds of viewers connected at once.
 #[test]
 fn new_connections_do_not_evict_one_that_was_never_read() {
     let rig = Rig::start();
-    rig.signal("-STOP"); // all of them wait when it goes on
+    rig.signal("-STOP"); // all connections are waiting when it continues
     let mut good = rig.viewer();
     good.write_all(&message(52, 11, &[(58, &[0])])).expect("written");
     let waiting_connections: Vec<_> = (0..100).map(|_| rig.viewer()).collect();
@@ -138,8 +140,8 @@
     drop(waiting_connections);
 }
 
-/// The bulletin is asked for what comes after the last event known, again where it broke off; a streamer that
-/// drains gets no set-up from then on.
+/// The director requests the bulletin events after the last known one, also after an interruption. A streamer
+/// that is reported as draining gets no more set-ups.
 #[test]
 fn the_bulletin_resumes_after_the_last_event_and_drains_apply() {
     let rig = Rig::start();
@@ -153,7 +155,11 @@
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xa5, "replay")).expect("written");
     let (kind, session, parameters) = hear(&mut viewer);
-    assert_eq!((kind, session, &parameters[..4]), (12, 0xa5, &[58, 0, 1, 42][..]), "refused at once");
+    assert_eq!(
+        (kind, session, &parameters[..4]),
+        (12, 0xa5, &[58, 0, 1, 42][..]),
+        "refused at once, as the only streamer drains"
+    );
 }
 
 fn requested_position(stream: &TcpStream) -> String {
@@ -162,8 +168,8 @@
     line.trim().to_owned()
 }
 
-/// SIGHUP ended the process. It must leave sessions and connections alone, keep the old configuration where
-/// the new one is bad, and follow the bulletin to its new address from the last event heard.
+/// Guards against SIGHUP terminating the process. A reload must keep sessions and connections, keep the old
+/// configuration if the new one is invalid, and resume the bulletin at its new address after the last event.
 #[test]
 fn sighup_follows_the_new_bulletin_and_keeps_connections() {
     let mut rig = Rig::start();
@@ -185,11 +191,11 @@
     rig.signal("-HUP");
     assert_eq!(requested_position(&accept(&new_bulletin)), "after 2");
     viewer.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut viewer), (53, 10, vec![58, 0, 1, 1]), "the connection is kept");
+    assert_eq!(hear(&mut viewer), (53, 10, vec![58, 0, 1, 1]), "the connection stays open");
 }
 
-/// After SIGTERM connections and requests are still taken and answered; sessions that stand are released at
-/// the end, and the counters are printed, as they are on SIGUSR1.
+/// After SIGTERM connections and requests are still accepted and answered. Established sessions are released
+/// at the end, and the counters are logged, as they are on SIGUSR1.
 #[test]
 fn sigterm_answers_requests_and_releases_sessions_before_exit() {
     let mut rig = Rig::start();
@@ -206,13 +212,13 @@
     let mut late = rig.viewer();
     late.write_all(&set_up(0xa7, "nobody's")).expect("written");
     assert_eq!(hear(&mut late), (12, 0xa7, vec![58, 0, 1, 41]));
-    assert_eq!(hear(&mut viewer), (12, 0xa6, vec![58, 0, 1, 41]), "released at the end");
+    assert_eq!(hear(&mut viewer), (12, 0xa6, vec![58, 0, 1, 41]), "released at shutdown");
     assert!(next_line(&mut rig.log, "ended").contains("taken=1"));
     assert!(rig.child.wait().expect("ended").success());
 }
 
-/// The fleet's platform lets a director have TCP and UDP over IPv4 only: a socket pair that woke the loop for
-/// signals was a Unix socket. Every socket the process holds must be an IPv4 one, and it still hears signals.
+/// Guards against sockets other than TCP and UDP over IPv4, which the fleet's platform does not permit: a
+/// socket pair that woke the event loop for signals was a Unix socket. Signals must still be handled.
 #[test]
 fn the_process_opens_only_ipv4_sockets() {
     let mut rig = Rig::start();
@@ -232,12 +238,12 @@
         assert!(!unix.iter().any(|i| i == inode), "a Unix socket: {link}");
         assert!(!tcp6.iter().chain(&udp6).any(|i| i == inode), "an IPv6 socket: {link}");
     }
-    assert!(sockets >= 2, "the listener and the viewer are seen ({sockets})");
+    assert!(sockets >= 2, "the listener and the viewer connection are found ({sockets})");
     rig.signal("-USR1");
     next_line(&mut rig.log, "counters");
 }
 
-/// A closed standard error costs the log, not the service.
+/// If standard error is closed, log lines are lost but service continues.
 #[test]
 fn a_closed_standard_error_does_not_stop_the_service() {
     let mut rig = Rig::start();
@@ -251,10 +257,10 @@
         assert_eq!(hear(&mut viewer).1, id);
     }
     exited_process.wait().expect("ended");
-    assert!(rig.child.try_wait().expect("asked").is_none(), "it still runs");
+    assert!(rig.child.try_wait().expect("asked").is_none(), "the director is still running");
 }
 
-/// A director that can't start says why in one plain line.
+/// A director that cannot start prints the reason in one line.
 #[test]
 fn a_bad_configuration_exits_with_one_line_of_error() {
     let file = std::env::temp_dir().join(format!("stonewharf-test-bad-{}.json", std::process::id()));
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals that come at the worst moment: in the middle of a start, between accept and read, with answers half
-//! written. The order is forced by files that block, by stopping the director, or by lines of its log.
+//! Signals that arrive at critical moments: during startup, between accept and read, and while answers are
+//! partly written. The order is enforced by blocking files, by stopping the director, or by lines of its log.
 mod common;
 mod rig;
 use rig::*;
@@ -8,9 +8,9 @@
 use std::os::unix::process::ExitStatusExt;
 use std::process::{Command, Stdio};
 
-/// Starts a director on a configuration that comes through a pipe, and sends it a signal before the first byte.
+/// Starts a director that reads its configuration from a pipe, and signals it before the first byte.
 fn start_and_signal_before_configuration(signal: &str) -> Rig {
-    let mut rig = Rig::start(); // its configuration is used again, at an address of its own
+    let mut rig = Rig::start(); // its configuration is reused by the second process, with its own address
     let file = rig.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("there");
     let (pipe, plain_file) = (rig.folder.join("pipe.json"), rig.folder.join("whole.json"));
@@ -18,8 +18,8 @@
     std::fs::write(&plain_file, &text).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_stonewharf"));
     let mut child = command.env("LB_CONFIG", &pipe).stderr(Stdio::piped()).spawn().expect("started");
-    let mut writer = OpenOptions::new().write(true).open(&pipe).expect("opened as the director opens it");
-    std::fs::rename(&plain_file, &pipe).expect("a reload reads a plain file");
+    let mut writer = OpenOptions::new().write(true).open(&pipe).expect("the director opens the pipe");
+    std::fs::rename(&plain_file, &pipe).expect("replaced by a plain file for a reload");
     std::mem::swap(&mut rig.child, &mut child);
     let _ = child.kill();
     let _ = child.wait();
@@ -30,7 +30,7 @@
     rig
 }
 
-/// SIGHUP ended a process that had not yet come to handle it, as if it had crashed.
+/// Guards against SIGHUP terminating a process that has not installed its handler yet, like a crash.
 #[test]
 fn sighup_during_startup_is_handled_once_serving() {
     let mut rig = start_and_signal_before_configuration("-HUP");
@@ -38,18 +38,19 @@
     next_line(&mut rig.log, "the configuration was read again");
 }
 
-/// SIGTERM did the same; it is an orderly end, with the grace time before it.
+/// Guards against the same fault with SIGTERM, which has to cause an orderly shutdown after the grace period.
 #[test]
 fn sigterm_during_startup_is_an_orderly_shutdown() {
     let mut rig = start_and_signal_before_configuration("-TERM");
     next_line(&mut rig.log, "asked to end");
     next_line(&mut rig.log, "ended");
     let status = rig.child.wait().expect("ended");
-    assert!(status.success(), "no signal ended it: {:?}", status.signal());
+    assert!(status.success(), "the process was terminated by a signal: {:?}", status.signal());
 }
 
-/// SIGTERM between accept and read, with half a request read, and with an attempt out; a second SIGTERM in the
-/// grace time. All are answered, and so is what comes on the open connections after it.
+/// SIGTERM arrives between accept and read, with a request partly read and with an attempt outstanding; a
+/// second SIGTERM arrives in the grace period. All requests are answered, and so is what arrives later on the
+/// open connections.
 #[test]
 fn requests_received_before_sigterm_are_answered_and_a_second_one_is_ignored() {
     let mut rig = Rig::start();
@@ -71,7 +72,7 @@
     for viewer in [&mut outstanding, &mut partial, &mut unread] {
         let answer = hear(viewer);
         if answer.1 != 0xe1 {
-            assert_eq!((answer.0, &answer.2[..3]), (12, &[58, 0, 1][..]), "one answer, whatever it is");
+            assert_eq!((answer.0, &answer.2[..3]), (12, &[58, 0, 1][..]), "exactly one answer, of any kind");
         }
     }
     outstanding.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
@@ -80,7 +81,7 @@
     assert!(rig.child.wait().expect("ended").success());
 }
 
-/// SIGTERM and SIGHUP in one turn: both are followed, and the end stays orderly.
+/// SIGTERM and SIGHUP arrive in one turn: both are handled, and the shutdown is orderly.
 #[test]
 fn sigterm_together_with_sighup_is_an_orderly_shutdown() {
     let mut rig = Rig::start();
@@ -94,7 +95,7 @@
     assert!(rig.child.wait().expect("ended").success());
 }
 
-/// Answers that the viewer's machine had no room for were thrown away as the process ended.
+/// Guards against discarding, at exit, answers that did not fit into the viewer's receive buffer.
 #[test]
 fn partly_written_answers_are_completed_before_exit() {
     let mut rig = Rig::with_door_and(&common::patient());
@@ -102,7 +103,7 @@
     rig.signal("-TERM");
     next_line(&mut rig.log, "waits for its last messages to be written");
     for _ in 0..answers {
-        assert_eq!(hear(&mut viewer).0, 9, "whole");
+        assert_eq!(hear(&mut viewer).0, 9, "a complete answer");
     }
     next_line(&mut rig.log, "ended");
 }
