--- a/crates/core/src/director/counters.rs
+++ b/crates/core/src/director/counters.rs
@@ -30,9 +30,9 @@
 
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                let all = [$((stringify!($name), self.$name.get())),*];
-                for (i, (name, count)) in all.iter().enumerate() {
-                    write!(f, "{}{name}={count}", if i == 0 { "" } else { " " })?;
+                let values = [$((stringify!($name), self.$name.get())),*];
+                for (index, (name, value)) in values.iter().enumerate() {
+                    write!(f, "{}{name}={value}", if index == 0 { "" } else { " " })?;
                 }
                 Ok(())
             }
@@ -53,11 +53,11 @@
 
 impl ClassOutcomes {
     fn registered_in(metrics: &MetricsRegistry, class: &str) -> ClassOutcomes {
-        let count = |what: &str| metrics.counter(&format!("operations.{class}.{what}"));
+        let counter = |outcome: &str| metrics.counter(&format!("operations.{class}.{outcome}"));
         ClassOutcomes {
-            fulfilled: count("fulfilled"),
-            throttled: count("throttled"),
-            faulted: count("faulted"),
+            fulfilled: counter("fulfilled"),
+            throttled: counter("throttled"),
+            faulted: counter("faulted"),
         }
     }
 }
--- a/src/net/duty.rs
+++ b/src/net/duty.rs
@@ -116,8 +116,8 @@
         if self.phase != Phase::Serving {
             return;
         }
-        let ClientActions { close, expire_pending: hurry } = self.duty.poll(self.shared.now);
-        if hurry {
+        let ClientActions { close, expire_pending } = self.duty.poll(self.shared.now);
+        if expire_pending {
             warn!(self.shared.log, "what is open is answered now, clients have to go");
             self.shared.inputs.push(Input::Hurry);
         }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -99,27 +99,35 @@
 #[test]
 fn an_unusable_viewer_connection_is_answered_or_closed() {
     let rig = Rig::start();
-    let (silent, mut half, mut odd) = (rig.viewer(), rig.viewer(), rig.viewer());
-    half.write_all(&set_up(0xb1, "replay")[..40]).expect("written");
+    let (silent, mut partial, mut unusable) = (rig.viewer(), rig.viewer(), rig.viewer());
+    partial.write_all(&set_up(0xb1, "replay")[..40]).expect("written");
     let out_of_range = b"home:9999;copies:1;top:1;viewer:00000000b4d65521";
-    let bad = [(16, &b"replay"[..]), (28, b"7f3a"), (31, out_of_range)];
+    let bad_parameters = [(16, &b"replay"[..]), (28, b"7f3a"), (31, out_of_range)];
     // Complete messages ahead of unreadable data are processed.
-    odd.write_all(&[message(1, 0xb2, &bad), message(99, 0xb3, &[]), vec![0, 0]].concat()).expect("written");
+    unusable
+        .write_all(&[message(1, 0xb2, &bad_parameters), message(99, 0xb3, &[]), vec![0, 0]].concat())
+        .expect("written");
     for id in [0xb2, 0xb3] {
-        assert_eq!(hear(&mut odd), (12, id, vec![58, 0, 1, 41]));
+        assert_eq!(hear(&mut unusable), (12, id, vec![58, 0, 1, 41]));
     }
-    for mut stream in [silent, half, odd] {
+    for mut stream in [silent, partial, unusable] {
         assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0, "closed");
     }
     let waiting_connections: Vec<_> = (0..64).map(|_| rig.viewer()).collect();
-    let mut good = rig.viewer();
-    good.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut good), (53, 10, vec![58, 0, 1, 1]), "an idle connection is closed to make room");
+    let mut health_check = rig.viewer();
+    health_check.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
+    assert_eq!(
+        hear(&mut health_check),
+        (53, 10, vec![58, 0, 1, 1]),
+        "an idle connection is closed to make room"
+    );
     drop(waiting_connections);
     // A connection that keeps sending unusable requests is closed after some answers.
     let mut answers = 0;
-    let mut again = rig.viewer();
-    while again.write_all(&set_up(0xb4, "unheard-of")).is_ok() && again.read(&mut [0; 17]).unwrap_or(0) > 0 {
+    let mut repeating = rig.viewer();
+    while repeating.write_all(&set_up(0xb4, "unheard-of")).is_ok()
+        && repeating.read(&mut [0; 17]).unwrap_or(0) > 0
+    {
         answers += 1;
         assert!(answers < 100, "the connection is never closed");
     }
@@ -132,11 +140,11 @@
 fn new_connections_do_not_evict_one_that_was_never_read() {
     let rig = Rig::start();
     rig.signal("-STOP"); // all connections are waiting when it continues
-    let mut good = rig.viewer();
-    good.write_all(&message(52, 11, &[(58, &[0])])).expect("written");
+    let mut health_check = rig.viewer();
+    health_check.write_all(&message(52, 11, &[(58, &[0])])).expect("written");
     let waiting_connections: Vec<_> = (0..100).map(|_| rig.viewer()).collect();
     rig.signal("-CONT");
-    assert_eq!(hear(&mut good), (53, 11, vec![58, 0, 1, 1]));
+    assert_eq!(hear(&mut health_check), (53, 11, vec![58, 0, 1, 1]));
     drop(waiting_connections);
 }
 
