--- a/crates/continuity/src/seam.rs
+++ b/crates/continuity/src/seam.rs
@@ -6,8 +6,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use stonewharf_core::{
-    Event, Limits, Micros, NoteKind, Outcome, Request, RequestId, StreamerId, Terms, TitleId, ViewerId,
-    name_number,
+    Constraints, Event, Micros, NoteKind, Outcome, PlacementLimits, Request, RequestId, StreamerId, TitleId,
+    ViewerId, name_number,
 };
 
 /// The number of the viewer and title of a session that another director set up.
@@ -120,25 +120,25 @@
     }
 }
 
-impl Limits for SharedHand {
-    fn hear(&mut self, now: Micros, event: &Event, _: &mut dyn FnMut(String)) {
+impl PlacementLimits for SharedHand {
+    fn observe_event(&mut self, now: Micros, event: &Event, _: &mut dyn FnMut(String)) {
         self.0.borrow_mut().told(now, event);
     }
 
-    fn sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
+    fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
         self.0.borrow_mut().sends(now, request, streamer, rung);
     }
 
-    fn rated(&mut self, request: RequestId, rung: usize) {
+    fn rung_changed(&mut self, request: RequestId, rung: usize) {
         let rung = u8::try_from(rung).unwrap_or(u8::MAX);
         self.0.borrow_mut().changed(request, |r| r.rung = rung);
     }
 
-    fn terms(&self, _: Micros, request: &Request, _: StreamerId) -> Terms {
-        Terms { open: self.0.borrow().open(request), ..Terms::FREE }
+    fn constraints(&self, _: Micros, request: &Request, _: StreamerId) -> Constraints {
+        Constraints { allowed: self.0.borrow().open(request), ..Constraints::NONE }
     }
 
-    fn acts(&self, now: Micros, request: RequestId) -> bool {
+    fn may_act_on(&self, now: Micros, request: RequestId) -> bool {
         self.0.borrow().may_act(now, request.0)
     }
 
--- a/crates/continuity/tests/traffic.rs
+++ b/crates/continuity/tests/traffic.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 use stonewharf_continuity::{ContinuitySettings, Deed, Estates, Hand, Me, Member, SharedHand, Stub, Word};
 use stonewharf_core::{
-    Class, ClassId, DedupScope, Effect, Event, Limits, Micros, Outcome, Request, RequestId, Settings,
-    StreamerId, TitleId, ViewerId,
+    Class, ClassId, DedupScope, Effect, Event, Micros, Outcome, PlacementLimits, Request, RequestId,
+    Settings, StreamerId, TitleId, ViewerId,
 };
 
 const STEP: Micros = 50_000;
@@ -64,7 +64,7 @@
             let (request, i) = (RequestId(entry.key().1), entry.remove());
             let (streamer, outcome, report) = (StreamerId(0), Outcome::Ok, Default::default());
             let event = Event::Ended { request, attempt: 0, streamer, outcome, last: true, report };
-            hands[i].clone().hear(now, &event, &mut |_| {});
+            hands[i].clone().observe_event(now, &event, &mut |_| {});
         }
         let mut confirmed = false;
         for (i, hand) in hands.iter().enumerate() {
@@ -83,10 +83,10 @@
                 let class = ClassId(usize::from(!id.is_multiple_of(3)));
                 let request = Request { id: RequestId(id), viewer, title, class, ..Request::default() };
                 hand.0.borrow_mut().wanted(id, stub);
-                seam.hear(now, &Event::Inbound(request.clone()), &mut |_| {});
-                seam.sent(now, &request, StreamerId(0), 1);
+                seam.observe_event(now, &Event::Inbound(request.clone()), &mut |_| {});
+                seam.attempt_sent(now, &request, StreamerId(0), 1);
                 let (request, streamer) = (request.id, StreamerId(0));
-                seam.hear(now, &Event::Started { request, streamer, latency_us: 1 }, &mut |_| {});
+                seam.observe_event(now, &Event::Started { request, streamer, latency_us: 1 }, &mut |_| {});
                 ends.insert((now + LASTS, id), i);
             }
             let mut hand = hand.0.borrow_mut();
--- a/crates/continuity/tests/world/turn.rs
+++ b/crates/continuity/tests/world/turn.rs
@@ -2,7 +2,7 @@
 use super::{DIRECTORS, Event2, MET, Plays, SECOND, Sim};
 use stonewharf_continuity::{Deed, Member, Record, Stage, Stub, Word};
 use stonewharf_core::{
-    Event, Limits, Micros, Outcome, Request, RequestId, StreamerId, TitleId, ViewerId, name_number,
+    Event, Micros, Outcome, PlacementLimits, Request, RequestId, StreamerId, TitleId, ViewerId, name_number,
 };
 
 impl Sim {
@@ -31,7 +31,7 @@
 
     pub(super) fn tell(&mut self, i: usize, event: Event) {
         let now = self.now;
-        self.directors[i].hand.hear(now, &event, &mut |_| {});
+        self.directors[i].hand.observe_event(now, &event, &mut |_| {});
     }
 
     pub(super) fn viewers(&mut self) {
@@ -81,14 +81,14 @@
         let now = self.now;
         self.directors[i].hand.0.borrow_mut().wanted(id, stub);
         self.tell(i, Event::Inbound(request.clone()));
-        if !self.directors[i].hand.terms(now, &request, StreamerId(0)).open {
+        if !self.directors[i].hand.constraints(now, &request, StreamerId(0)).allowed {
             self.claims += 1;
             let after = 200_000 + self.below(200_000);
             self.returns.push((now + after, viewer, title));
             self.drain(i);
             return;
         }
-        self.directors[i].hand.sent(now, &request, StreamerId(0), 1);
+        self.directors[i].hand.attempt_sent(now, &request, StreamerId(0), 1);
         self.drain(i);
         let beside = self.playing.values().any(|p| p.paid && p.key == (viewer, title));
         if paid && beside {
--- a/crates/core/src/director/mod.rs
+++ b/crates/core/src/director/mod.rs
@@ -15,7 +15,7 @@
 pub use messages::*;
 
 use crate::interface::*;
-use crate::limits::Limits;
+use crate::limits::PlacementLimits;
 use crate::rules::Controller;
 use ledger::{Ledger, Outbox};
 
@@ -39,8 +39,8 @@
     }
 
     /// Adds limits that a subsystem places on the decisions. To be called before the first turn.
-    pub fn with_limits(self, limits: Box<dyn Limits>) -> Self {
-        Director { controller: self.controller.limited(limits), ..self }
+    pub fn with_limits(self, limits: Box<dyn PlacementLimits>) -> Self {
+        Director { controller: self.controller.with_limits(limits), ..self }
     }
 
     /// Replaces the counters. To be called before the first turn.
@@ -123,7 +123,7 @@
 
     /// Returns the number of listed streamers, and how many of them currently get only trial set-ups.
     pub fn streamer_counts(&self) -> (usize, usize) {
-        self.controller.listed()
+        self.controller.streamer_counts()
     }
 
     /// Returns the counters.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -54,6 +54,6 @@
 
 pub use budget::AttemptBudget;
 pub use interface::*;
-pub use limits::{Limits, Terms};
+pub use limits::{Constraints, PlacementLimits};
 pub use rules::{Controller, erlang_payoff, split_slots};
 pub use settings::name_number;
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -10,38 +10,38 @@
 
 /// What holds for a set-up of one request to one streamer at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Constraints {
     /// Preference, 0 first. A tier is left only where the one before has no room for the request.
     pub tier: u32,
     /// Whether the set-up may go there now.
-    pub open: bool,
+    pub allowed: bool,
     /// The rate at which the session may start, or be stepped up to, kB a second; the class's lowest rung is
     /// always allowed.
-    pub most_kb: f64,
+    pub max_rate_kb: f64,
 }
 
-impl Terms {
+impl Constraints {
     /// No limit at all.
-    pub const FREE: Terms = Terms { tier: 0, open: true, most_kb: f64::INFINITY };
+    pub const NONE: Constraints = Constraints { tier: 0, allowed: true, max_rate_kb: f64::INFINITY };
 }
 
 /// Limits of a subsystem. All times are the controller's, in microseconds, and never go back.
-pub trait Limits {
+pub trait PlacementLimits {
     /// Told of each event before the module acts on it. Lines for on-call staff go to `news`.
-    fn hear(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String));
+    fn observe_event(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String));
 
     /// Told of each set-up as it is sent, and the rung that it starts at. Each ends by one [`Event::Ended`].
-    fn sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize);
+    fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize);
 
     /// Told of each change of rung of a session that is out or plays.
-    fn rated(&mut self, _request: RequestId, _rung: usize) {}
+    fn rung_changed(&mut self, _request: RequestId, _rung: usize) {}
 
     /// The terms for a set-up of `request` to `streamer` now. Asked for each streamer that could be chosen:
     /// its cost must not grow with their number.
-    fn terms(&self, now: Micros, request: &Request, streamer: StreamerId) -> Terms;
+    fn constraints(&self, now: Micros, request: &Request, streamer: StreamerId) -> Constraints;
 
     /// Whether this director may act on a session by its own will now; false where another one may.
-    fn acts(&self, _now: Micros, _request: RequestId) -> bool {
+    fn may_act_on(&self, _now: Micros, _request: RequestId) -> bool {
         true
     }
 
@@ -52,60 +52,60 @@
     }
 }
 
-impl Terms {
+impl Constraints {
     /// Both: the greater tier, open where both are, the lesser rate.
-    fn and(self, other: Terms) -> Terms {
-        Terms {
+    fn and(self, other: Constraints) -> Constraints {
+        Constraints {
             tier: self.tier.max(other.tier),
-            open: self.open && other.open,
-            most_kb: self.most_kb.min(other.most_kb),
+            allowed: self.allowed && other.allowed,
+            max_rate_kb: self.max_rate_kb.min(other.max_rate_kb),
         }
     }
 }
 
 /// Where the module keeps the limits that are set; without any, all terms are free.
 #[derive(Default)]
-pub(crate) struct Seam {
+pub(crate) struct LimitSet {
     now: Micros,
-    limits: Vec<Box<dyn Limits>>,
+    limits: Vec<Box<dyn PlacementLimits>>,
 }
 
-impl Seam {
-    pub(crate) fn add(&mut self, limits: Box<dyn Limits>) {
+impl LimitSet {
+    pub(crate) fn add(&mut self, limits: Box<dyn PlacementLimits>) {
         self.limits.push(limits);
     }
 
-    pub(crate) fn hear(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+    pub(crate) fn observe_event(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = now;
         for limits in &mut self.limits {
-            limits.hear(now, event, &mut |line| out.push(Action::Log(line)));
+            limits.observe_event(now, event, &mut |line| out.push(Action::Log(line)));
         }
     }
 
-    pub(crate) fn sent(&mut self, request: &Request, streamer: StreamerId, rung: usize) {
+    pub(crate) fn attempt_sent(&mut self, request: &Request, streamer: StreamerId, rung: usize) {
         let now = self.now;
-        self.limits.iter_mut().for_each(|limits| limits.sent(now, request, streamer, rung));
+        self.limits.iter_mut().for_each(|limits| limits.attempt_sent(now, request, streamer, rung));
     }
 
-    pub(crate) fn rated(&mut self, request: RequestId, rung: usize) {
-        self.limits.iter_mut().for_each(|limits| limits.rated(request, rung));
+    pub(crate) fn rung_changed(&mut self, request: RequestId, rung: usize) {
+        self.limits.iter_mut().for_each(|limits| limits.rung_changed(request, rung));
     }
 
-    pub(crate) fn terms(&self, request: &Request, streamer: StreamerId) -> Terms {
-        let all = self.limits.iter().map(|limits| limits.terms(self.now, request, streamer));
-        all.fold(Terms::FREE, Terms::and)
+    pub(crate) fn constraints(&self, request: &Request, streamer: StreamerId) -> Constraints {
+        let all = self.limits.iter().map(|limits| limits.constraints(self.now, request, streamer));
+        all.fold(Constraints::NONE, Constraints::and)
     }
 
-    pub(crate) fn acts(&self, request: RequestId) -> bool {
-        self.limits.iter().all(|limits| limits.acts(self.now, request))
+    pub(crate) fn may_act_on(&self, request: RequestId) -> bool {
+        self.limits.iter().all(|limits| limits.may_act_on(self.now, request))
     }
 
-    pub(crate) fn open(&self, request: &Request, streamer: StreamerId) -> bool {
-        self.terms(request, streamer).open
+    pub(crate) fn allowed(&self, request: &Request, streamer: StreamerId) -> bool {
+        self.constraints(request, streamer).allowed
     }
 
     pub(crate) fn tier_cost(&self, request: &Request, streamer: StreamerId) -> f64 {
-        TIER * f64::from(self.terms(request, streamer).tier)
+        TIER * f64::from(self.constraints(request, streamer).tier)
     }
 
     pub(crate) fn hold_off(&self, request: &Request, most: Micros, chance: f64) -> Micros {
--- a/crates/core/src/rules/health.rs
+++ b/crates/core/src/rules/health.rs
@@ -8,7 +8,7 @@
     }
 
     /// Streamers in the list, and those of them that get no set-ups now, but for trials.
-    pub fn listed(&self) -> (usize, usize) {
+    pub fn streamer_counts(&self) -> (usize, usize) {
         let listed = || self.streamers.values().filter(|s| s.entry.standing != Standing::Gone);
         let avoided = |s: &&Streamer| s.entry.standing != Standing::Up || self.suspicion(s) >= BARRED;
         (listed().count(), listed().filter(avoided).count())
@@ -126,10 +126,10 @@
     /// Rule 6: attempts past the first stay within the ration, where one is stated.
     fn budget_allows(&mut self) -> bool {
         let Some(budget) = self.set.attempt_budget else { return true };
-        let (attempts_since, requests_since) = budget.counts_since(self.now);
+        let (attempts_since, requests_since) = budget.window_starts(self.now);
         self.resent.retain(|at| *at >= attempts_since);
         self.taken.retain(|at| *at > requests_since);
-        self.resent.len() as f64 + 1.0 <= budget.free + budget.per_request * self.taken.len() as f64
+        self.resent.len() as f64 + 1.0 <= budget.base_attempts + budget.per_request * self.taken.len() as f64
     }
 
     /// Rules 2 to 5: it holds the title, is up, not rushed while cold, a repeat does no harm, a seat is free.
@@ -139,7 +139,7 @@
         let request = &session.request;
         let class = &self.set.classes[request.class.0];
         let holds = self.set.holds(request, &s.entry) && s.entry.standing == Standing::Up;
-        let open = session.streamer.is_none() && !session.answered && self.limits.open(request, at);
+        let open = session.streamer.is_none() && !session.answered && self.limits.allowed(request, at);
         let seat = self.seats.get(&(request.title, request.class)).copied().unwrap_or(0);
         let seated = class.seats == 0 || seat < class.seats;
         let harmless = match (session.may_have_run, class.effect) {
@@ -166,7 +166,7 @@
         let now = self.now;
         let (s, session) = (self.streamers.get_mut(&at), self.sessions.get_mut(&id));
         let (Some(s), Some(session)) = (s, session) else { return };
-        self.limits.sent(&session.request, at, session.rung);
+        self.limits.attempt_sent(&session.request, at, session.rung);
         (s.cold_turn, s.trial_at) = (turn.or(s.cold_turn), s.trial_at.max(now + TRIAL_US));
         s.linked_until = now + self.set.keep_us;
         let class = &self.set.classes[session.request.class.0];
--- a/crates/core/src/rules/mod.rs
+++ b/crates/core/src/rules/mod.rs
@@ -6,7 +6,7 @@
 mod pools;
 
 use crate::interface::*;
-use crate::limits::Seam;
+use crate::limits::LimitSet;
 use crate::window::Window;
 pub use pools::{erlang_payoff, split_slots};
 use rand_chacha::ChaCha8Rng;
@@ -122,7 +122,7 @@
 /// The decisions of one controller. Feed it events in order; it answers with actions.
 #[derive(Default)]
 pub struct Controller {
-    pub(crate) limits: Seam,
+    pub(crate) limits: LimitSet,
     set: Settings,
     rng: Option<ChaCha8Rng>,
     now: Micros,
@@ -181,7 +181,7 @@
     /// Takes one event at its time and adds what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.limits.hear(self.now, &event, out);
+        self.limits.observe_event(self.now, &event, out);
         match event {
             Event::List { scope, entries } => self.list(scope, entries, out),
             Event::Inbound(r) | Event::Preexisting(r, _)
--- a/crates/core/src/rules/placement.rs
+++ b/crates/core/src/rules/placement.rs
@@ -164,7 +164,10 @@
         let dear = self.set.classes[request.class.0].worth * self.set.classes.len() as f64 / worths;
         let fair = FAIR * dear * mean_kb * limit / load;
         let floor = self.set.classes[request.class.0].lowest_rung;
-        let most = self.room_kb(s, limit).min(fair).min(self.limits.terms(request, s.entry.streamer).most_kb);
+        let most = self
+            .room_kb(s, limit)
+            .min(fair)
+            .min(self.limits.constraints(request, s.entry.streamer).max_rate_kb);
         let fits = |r: &usize| self.set.rate_kb(request.class, *r) <= most;
         (floor..=self.set.top_rung(request)).rev().find(fits).unwrap_or(floor)
     }
@@ -177,8 +180,8 @@
             let class = &self.set.classes[session.request.class.0];
             let low = session.rung.saturating_sub(usize::from(!up));
             let most = self.set.top_rung(&session.request);
-            let terms = self.limits.terms(&session.request, s.entry.streamer);
-            let free = self.set.rate_kb(session.request.class, low + 1) <= terms.most_kb;
+            let terms = self.limits.constraints(&session.request, s.entry.streamer);
+            let free = self.set.rate_kb(session.request.class, low + 1) <= terms.max_rate_kb;
             let may = if up { low < most && free } else { session.rung > class.lowest_rung };
             if may && session.playing && session.changed_at + quiet <= self.now {
                 let gap = |ladder: &[f64]| ladder[low + 1] - ladder[low];
@@ -252,7 +255,7 @@
         let Some(session) = self.sessions.get(&id) else { return };
         let class = &self.set.classes[session.request.class.0];
         let within = class.lowest_rung..=self.set.top_rung(&session.request);
-        let fits = within.contains(&rung) && rung != session.rung && self.limits.acts(id);
+        let fits = within.contains(&rung) && rung != session.rung && self.limits.may_act_on(id);
         if fits && (session.playing || session.streamer.is_none()) {
             self.set_rung(id, rung, false);
             out.push(Action::Rate { request: id, rung });
@@ -265,7 +268,7 @@
         let before = std::mem::replace(&mut session.rung, rung.min(self.set.ladder_kb.len() - 1));
         session.changed_at = if told { session.changed_at } else { now };
         let (class, after, at) = (session.request.class, session.rung, session.streamer);
-        self.limits.rated(id, after);
+        self.limits.rung_changed(id, after);
         if let Some(at) = at {
             self.book(at, self.set.rate_kb(class, after) - self.set.rate_kb(class, before), 0);
         }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -255,10 +255,10 @@
         discovery_on_request: info.membership_mode == "on_request",
         ask_within_us: whole(rules.ask_within_us),
         attempt_budget: rules.budget_span_us.map(|span| crate::AttemptBudget {
-            free: rules.free_resends.unwrap_or(0.0),
+            base_attempts: rules.free_resends.unwrap_or(0.0),
             per_request: rules.extra_per_request.unwrap_or(0.0),
-            span_us: whole(Some(span)),
-            delay_us: Carriage::of(info).dial_timeout_us,
+            window_us: whole(Some(span)),
+            max_dial_delay_us: Carriage::of(info).dial_timeout_us,
         }),
         my_zone: ZoneId(zones.id(&info.my_zone)),
         cross_zone_price: info.price("cross_zone"),
--- a/crates/halls/src/lib.rs
+++ b/crates/halls/src/lib.rs
@@ -1,6 +1,6 @@
 //! Loss and return of a hall. Keeps for each hall a state (whole, doubtful, lost, returning) judged by
 //! evidence over different streamers, and states terms for set-ups through the core's seam
-//! ([`stonewharf_core::Limits`]): tiers of preference, a limit on what spills across, and a return in steps.
+//! ([`stonewharf_core::PlacementLimits`]): tiers of preference, a limit on what spills across, and a return in steps.
 //! Owns no sessions, answers no request, does no I/O and reads no clock; every controller judges alone, by
 //! what it is told.
 #![forbid(unsafe_code)]
--- a/crates/halls/src/limits.rs
+++ b/crates/halls/src/limits.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use stonewharf_core::{
-    ClassId, Effect, Event, Limits, ListScope, LoadReport, Micros, NoteKind, Outcome, Request, RequestId,
-    Settings, Standing, StreamerId, Terms, ZoneId,
+    ClassId, Constraints, Effect, Event, ListScope, LoadReport, Micros, NoteKind, Outcome, PlacementLimits,
+    Request, RequestId, Settings, Standing, StreamerId, ZoneId,
 };
 
 const SECOND: Micros = 1_000_000;
@@ -79,18 +79,18 @@
     }
 }
 
-impl Limits for SharedHalls {
-    fn hear(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String)) {
-        self.0.borrow_mut().hear(now, event, news);
+impl PlacementLimits for SharedHalls {
+    fn observe_event(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String)) {
+        self.0.borrow_mut().observe_event(now, event, news);
     }
-    fn sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
-        self.0.borrow_mut().sent(now, request, streamer, rung);
+    fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
+        self.0.borrow_mut().attempt_sent(now, request, streamer, rung);
     }
-    fn rated(&mut self, request: RequestId, rung: usize) {
-        self.0.borrow_mut().rated(request, rung);
+    fn rung_changed(&mut self, request: RequestId, rung: usize) {
+        self.0.borrow_mut().rung_changed(request, rung);
     }
-    fn terms(&self, now: Micros, request: &Request, streamer: StreamerId) -> Terms {
-        self.0.borrow().terms(now, request, streamer)
+    fn constraints(&self, now: Micros, request: &Request, streamer: StreamerId) -> Constraints {
+        self.0.borrow().constraints(now, request, streamer)
     }
     fn hold_off(&self, now: Micros, request: &Request, most: Micros, chance: f64) -> Option<Micros> {
         self.0.borrow().hold_off(now, request, most, chance)
@@ -325,8 +325,8 @@
     }
 }
 
-impl Limits for Halls {
-    fn hear(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String)) {
+impl PlacementLimits for Halls {
+    fn observe_event(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String)) {
         let mut changes = match event {
             Event::Timer(_) => self.pass(now),
             Event::List { scope: ListScope::Failed, .. } => Vec::new(),
@@ -416,7 +416,7 @@
         }
     }
 
-    fn sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
+    fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
         self.held.insert(request.id, (streamer, request.class));
         let Some(zone) = self.streamers.get(&streamer).map(|p| p.hall) else { return };
         if self.spills(request, zone) {
@@ -429,17 +429,17 @@
         }
     }
 
-    fn rated(&mut self, request: RequestId, rung: usize) {
+    fn rung_changed(&mut self, request: RequestId, rung: usize) {
         if let Some((_, class)) = self.held.get(&request) {
             self.spill.rate(request, self.set.rate_kb(*class, rung));
         }
     }
 
-    fn terms(&self, now: Micros, request: &Request, streamer: StreamerId) -> Terms {
+    fn constraints(&self, now: Micros, request: &Request, streamer: StreamerId) -> Constraints {
         let Some(place) = self.streamers.get(&streamer).filter(|_| self.own.enabled) else {
-            return Terms::FREE;
+            return Constraints::NONE;
         };
-        let Some(hall) = self.halls.get(&place.hall) else { return Terms::FREE };
+        let Some(hall) = self.halls.get(&place.hall) else { return Constraints::NONE };
         let mark = if self.marks.is_empty() { Mark::default() } else { self.mark(request.id) };
         let class = &self.set.classes[request.class.0];
         let mut tier = self.tier(request.class.0, place.hall);
@@ -447,7 +447,7 @@
             // A trial goes first, by a session that can be set up again elsewhere in time.
             let harmless = class.effect == Effect::Idempotent && mark.failed_in.is_none();
             let open = harmless && hall.trial_due(now);
-            return Terms { tier: 0, open, most_kb: f64::INFINITY };
+            return Constraints { tier: 0, allowed: open, max_rate_kb: f64::INFINITY };
         }
         if !self.settled && self.halls.values().any(|h| h.trial_due(now)) {
             tier += 1;
@@ -455,12 +455,12 @@
         tier += u32::from(mark.failed_in == Some(place.hall));
         // Where all halls are lost, none is shut.
         let open = hall.is_lost() || hall.open(now, streamer, &self.own);
-        let mut terms = Terms { tier, open, most_kb: f64::INFINITY };
+        let mut terms = Constraints { tier, allowed: open, max_rate_kb: f64::INFINITY };
         if self.spills(request, place.hall) {
             let least = self.set.rate_kb(request.class, class.lowest_rung);
             match self.spill.most_kb(now, request.id, least) {
-                Some(most) => terms.most_kb = most,
-                None => terms.open = false,
+                Some(most) => terms.max_rate_kb = most,
+                None => terms.allowed = false,
             }
         }
         terms
--- a/crates/halls/tests/properties.rs
+++ b/crates/halls/tests/properties.rs
@@ -182,7 +182,7 @@
 ) -> Node {
     let set = settings(me, controllers, me % 2);
     let halls = SharedHalls::new(Halls::new(HallSettings::default(), &set, now, |_| None, |_| ZoneId(9)));
-    let controller = Controller::new(set, seed, now).expect("settings").limited(Box::new(halls.clone()));
+    let controller = Controller::new(set, seed, now).expect("settings").with_limits(Box::new(halls.clone()));
     let mut node = Node { controller, halls, knows: HashSet::new(), hears_at: Micros::MAX };
     let entries = (0..STREAMERS).map(|i| entry(i, returned.filter(|_| i % 2 == 1))).collect();
     let at = if scope == ListScope::Full { now + 1 } else { now };
--- a/crates/halls/tests/terms.rs
+++ b/crates/halls/tests/terms.rs
@@ -50,7 +50,7 @@
 
 fn tell(halls: &mut Halls, now: Micros, event: Event) -> Vec<String> {
     let mut news = Vec::new();
-    halls.hear(now, &event, &mut |line| news.push(line));
+    halls.observe_event(now, &event, &mut |line| news.push(line));
     news
 }
 
@@ -73,8 +73,8 @@
     }
 }
 
-fn terms(halls: &Halls, now: Micros, request: &Request, streamer: u32) -> Terms {
-    halls.terms(now, request, StreamerId(streamer))
+fn terms(halls: &Halls, now: Micros, request: &Request, streamer: u32) -> Constraints {
+    halls.constraints(now, request, StreamerId(streamer))
 }
 
 #[test]
@@ -92,15 +92,15 @@
     let mut h = halls(HallSettings::default());
     lose(&mut h, S, 1);
     assert!(matches!(h.state(B), State::Lost { .. }));
-    assert!(!terms(&h, S, &wanted(1, 1, false), 1).open);
-    assert!(terms(&h, S, &wanted(1, 1, false), 0).open);
+    assert!(!terms(&h, S, &wanted(1, 1, false), 1).allowed);
+    assert!(terms(&h, S, &wanted(1, 1, false), 0).allowed);
     let later = S + 2 * S;
     let (harmless, paid) = (wanted(2, 1, false), wanted(3, 0, false));
     let trial = terms(&h, later, &harmless, 1);
-    assert!(trial.open && trial.tier < terms(&h, later, &harmless, 0).tier, "a trial goes first");
-    assert!(!terms(&h, later, &paid, 1).open, "a paid session is no trial");
-    h.sent(later, &harmless, StreamerId(1), 0);
-    assert!(!terms(&h, later, &wanted(4, 1, false), 1).open, "one trial at a time");
+    assert!(trial.allowed && trial.tier < terms(&h, later, &harmless, 0).tier, "a trial goes first");
+    assert!(!terms(&h, later, &paid, 1).allowed, "a paid session is no trial");
+    h.attempt_sent(later, &harmless, StreamerId(1), 0);
+    assert!(!terms(&h, later, &wanted(4, 1, false), 1).allowed, "one trial at a time");
 }
 
 #[test]
@@ -109,7 +109,7 @@
     lose(&mut h, S, 1);
     lose(&mut h, S, 0);
     for streamer in 0..8 {
-        assert!(terms(&h, S, &wanted(1, 0, false), streamer).open);
+        assert!(terms(&h, S, &wanted(1, 0, false), streamer).allowed);
     }
 }
 
@@ -124,14 +124,14 @@
         let request = wanted(id, 1, true);
         tell(&mut h, S, Event::Inbound(request.clone()));
         let t = terms(&h, S, &request, 0);
-        if t.open {
-            assert!(t.most_kb <= part - h.spill().used_kb() + 1e-9);
-            h.sent(S, &request, StreamerId(0), 0);
+        if t.allowed {
+            assert!(t.max_rate_kb <= part - h.spill().used_kb() + 1e-9);
+            h.attempt_sent(S, &request, StreamerId(0), 0);
             taken += 1;
         }
     }
     assert_eq!(taken, 10, "ten sessions of 100 kB a second");
-    h.rated(RequestId(0), 1);
+    h.rung_changed(RequestId(0), 1);
     assert!((h.spill().used_kb() - 1_200.0).abs() < 1e-9, "a step up is booked");
     let (outcome, report) = (Outcome::Ok, LoadReport::default());
     let (request, streamer) = (RequestId(0), StreamerId(0));
@@ -144,7 +144,7 @@
     let mut h = halls(HallSettings::default());
     // Sessions stand there, so that the streamers stay known.
     for i in [1, 3, 5] {
-        h.sent(S, &wanted(u64::from(i), 1, false), StreamerId(i), 0);
+        h.attempt_sent(S, &wanted(u64::from(i), 1, false), StreamerId(i), 0);
     }
     let entries = [1, 3, 5].map(|i| entry(i, Standing::Draining, None)).to_vec();
     tell(&mut h, S, Event::List { scope: ListScope::Delta, entries });
@@ -162,5 +162,5 @@
 fn settings_that_turn_it_off_free_all_terms() {
     let mut h = halls(HallSettings { enabled: false, ..HallSettings::default() });
     lose(&mut h, S, 1);
-    assert_eq!(terms(&h, S, &wanted(1, 0, true), 1), Terms::FREE);
+    assert_eq!(terms(&h, S, &wanted(1, 0, true), 1), Constraints::NONE);
 }
--- a/crates/rollout/src/drains.rs
+++ b/crates/rollout/src/drains.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 use stonewharf_core::{
-    Entry, Event, Limits, ListScope, Micros, Request, Settings, Standing, StreamerId, Terms,
+    Constraints, Entry, Event, ListScope, Micros, PlacementLimits, Request, Settings, Standing, StreamerId,
 };
 
 struct Known {
@@ -128,12 +128,12 @@
     }
 }
 
-impl Limits for SharedDrains {
-    fn hear(&mut self, _: Micros, _: &Event, _: &mut dyn FnMut(String)) {}
+impl PlacementLimits for SharedDrains {
+    fn observe_event(&mut self, _: Micros, _: &Event, _: &mut dyn FnMut(String)) {}
 
-    fn sent(&mut self, _: Micros, _: &Request, _: StreamerId, _: usize) {}
+    fn attempt_sent(&mut self, _: Micros, _: &Request, _: StreamerId, _: usize) {}
 
-    fn terms(&self, _: Micros, _: &Request, streamer: StreamerId) -> Terms {
-        Terms { open: !self.0.borrow().closed(streamer), ..Terms::FREE }
+    fn constraints(&self, _: Micros, _: &Request, streamer: StreamerId) -> Constraints {
+        Constraints { allowed: !self.0.borrow().closed(streamer), ..Constraints::NONE }
     }
 }
--- a/crates/rollout/tests/streamers.rs
+++ b/crates/rollout/tests/streamers.rs
@@ -1,7 +1,7 @@
 //! Drains of streamers: what is given and refused, what frees a permit, and what a director makes of it.
 use stonewharf_core::{
-    ClassId, Entry, Limits, ListScope, Request, RequestId, Settings, Standing, StreamerId, TitleId, ViewerId,
-    ZoneId,
+    ClassId, Entry, ListScope, PlacementLimits, Request, RequestId, Settings, Standing, StreamerId, TitleId,
+    ViewerId, ZoneId,
 };
 use stonewharf_rollout::{
     Command, Drains, OutSettings, Refusal, Reply, Rollout, Scope, SharedDrains, StreamerSeen, Watch,
@@ -189,5 +189,8 @@
         beside: 0,
     };
     let shared = SharedDrains::new(late);
-    assert!(!shared.terms(0, &request, StreamerId(1)).open && shared.terms(0, &request, StreamerId(0)).open);
+    assert!(
+        !shared.constraints(0, &request, StreamerId(1)).allowed
+            && shared.constraints(0, &request, StreamerId(0)).allowed
+    );
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -22,7 +22,8 @@
     let mut paid = class(2.0, Effect::AtMostOnce);
     (paid.lowest_rung, paid.seats) = (1, 4);
     let classes = vec![paid, class(1.0, Effect::Idempotent)];
-    let budget = AttemptBudget { free: 3.0, per_request: 0.2, span_us: 5 * S, delay_us: 0 };
+    let budget =
+        AttemptBudget { base_attempts: 3.0, per_request: 0.2, window_us: 5 * S, max_dial_delay_us: 0 };
     let set = Settings {
         attempt_budget: (seed.is_multiple_of(2)).then_some(budget),
         reports: if seed.is_multiple_of(3) { ReportMode::ProbeOnly } else { ReportMode::InAnswers },
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -136,7 +136,8 @@
 
 #[test]
 fn further_attempts_stay_within_the_ration() {
-    let budget = AttemptBudget { free: 2.0, per_request: 0.1, span_us: 10 * S, delay_us: 0 };
+    let budget =
+        AttemptBudget { base_attempts: 2.0, per_request: 0.1, window_us: 10 * S, max_dial_delay_us: 0 };
     let mut b = Bench::new(Settings { attempt_budget: Some(budget), ..settings(idempotent()) });
     let mut resent = 0;
     for id in 1..=20 {
@@ -152,7 +153,12 @@
 #[test]
 fn a_further_attempt_counts_for_as_long_as_it_may_have_waited() {
     for (after, allowed) in [(10 * S + S / 5, false), (10 * S + S / 4 + 1, true)] {
-        let budget = AttemptBudget { free: 1.0, per_request: 0.0, span_us: 10 * S, delay_us: S / 4 };
+        let budget = AttemptBudget {
+            base_attempts: 1.0,
+            per_request: 0.0,
+            window_us: 10 * S,
+            max_dial_delay_us: S / 4,
+        };
         let mut b = Bench::new(Settings { attempt_budget: Some(budget), ..settings(idempotent()) });
         let again = |b: &mut Bench, id| {
             let at = sent(&b.ask(request(id, 0))).expect("sent");
--- a/tests/unchanged.rs
+++ b/tests/unchanged.rs
@@ -39,12 +39,12 @@
 }
 
 /// Plays a seeded world of two zones with failures, restarts and shortages; returns the digest.
-fn play(seed: u64, limits: Option<Box<dyn Limits>>) -> u64 {
+fn play(seed: u64, limits: Option<Box<dyn PlacementLimits>>) -> u64 {
     let mut dice = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let mut roll = |n: u64| dice.next_u64() % n;
     let controller = Controller::new(world_settings(seed), seed, 0).expect("settings");
     let mut controller = match limits {
-        Some(limits) => controller.limited(limits),
+        Some(limits) => controller.with_limits(limits),
         None => controller,
     };
     let (mut now, mut hash) = (0, 0xcbf2_9ce4_8422_2325);
@@ -153,11 +153,11 @@
 /// Limits that are asked and told, and limit nothing.
 struct Free;
 
-impl Limits for Free {
-    fn hear(&mut self, _: Micros, _: &Event, _: &mut dyn FnMut(String)) {}
-    fn sent(&mut self, _: Micros, _: &Request, _: StreamerId, _: usize) {}
-    fn terms(&self, _: Micros, _: &Request, _: StreamerId) -> Terms {
-        Terms::FREE
+impl PlacementLimits for Free {
+    fn observe_event(&mut self, _: Micros, _: &Event, _: &mut dyn FnMut(String)) {}
+    fn attempt_sent(&mut self, _: Micros, _: &Request, _: StreamerId, _: usize) {}
+    fn constraints(&self, _: Micros, _: &Request, _: StreamerId) -> Constraints {
+        Constraints::NONE
     }
 }
 
