--- a/crates/core/src/rules/pools.rs
+++ b/crates/core/src/rules/pools.rs
@@ -40,24 +40,30 @@
 
 impl Controller {
     /// Re-chooses the split: slots from links, uplinks and streams, shared over the controllers.
-    pub(super) fn choose(&mut self, out: &mut Out) {
+    pub(super) fn rechoose_split(&mut self, out: &mut Actions) {
         let mut links: BTreeMap<u32, f64> = BTreeMap::new();
         let mut streams = 0.0;
         for s in self.streamers.values().filter(|s| s.entry.standing == Standing::Up) {
-            *links.entry(self.set.rack_of(&s.entry)).or_default() += s.link.cap_kb;
-            streams += self.set.streams_of(&s.entry);
+            *links.entry(self.settings.rack_of(&s.entry)).or_default() += s.link.capacity_kb;
+            streams += self.settings.streams_of(&s.entry);
         }
-        let kb: f64 = links.iter().map(|(r, kb)| kb.min(self.racks.get(r).map_or(*kb, |g| g.cap_kb))).sum();
+        let kb: f64 =
+            links.iter().map(|(r, kb)| kb.min(self.racks.get(r).map_or(*kb, |g| g.capacity_kb))).sum();
         // The split is the whole fleet's; a fraction of a slot is one with that chance, so none is lost.
-        let slots = (kb * SLOT_MARGIN / self.slot_kb / self.elastic()).min(streams).clamp(0.0, 1e5) as usize;
-        let arrivals: f64 = self.meters.iter().map(|m| m.arrivals).sum();
-        let n = f64::from(self.set.controllers);
-        let split = if arrivals < COUNTED {
-            let earns = |(c, m): (&Class, &Meter)| c.worth * (m.arrivals + 1.0);
-            split_by_weight(&self.set.classes.iter().zip(&self.meters).map(earns).collect::<Vec<_>>(), slots)
+        let slots = (kb * SLOT_LINK_SHARE / self.slot_kb / self.best_rung_slots())
+            .min(streams)
+            .clamp(0.0, 1e5) as usize;
+        let arrivals: f64 = self.class_counts.iter().map(|m| m.arrivals).sum();
+        let n = f64::from(self.settings.controllers);
+        let split = if arrivals < MIN_ARRIVALS_FOR_SPLIT {
+            let earns = |(c, m): (&Class, &ClassCounts)| c.worth * (m.arrivals + 1.0);
+            split_by_weight(
+                &self.settings.classes.iter().zip(&self.class_counts).map(earns).collect::<Vec<_>>(),
+                slots,
+            )
         } else {
-            let fleet = |c: usize| (self.offered(c).0 * n, self.offered(c).1);
-            split_slots(&(0..self.meters.len()).map(fleet).collect::<Vec<_>>(), slots)
+            let fleet = |c: usize| (self.offered_load(c).0 * n, self.offered_load(c).1);
+            split_slots(&(0..self.class_counts.len()).map(fleet).collect::<Vec<_>>(), slots)
         };
         let part: Vec<_> = split.iter().map(|slots| (*slots as f64 / n + self.chance()) as usize).collect();
         let (old, pools) = (std::mem::replace(&mut self.pools, part), &self.pools);
@@ -67,48 +73,50 @@
     }
 
     /// Offered load of a class in slots, and worth of a slot a second.
-    fn offered(&self, class: usize) -> (f64, f64) {
-        let (c, m) = (&self.set.classes[class], &self.meters[class]);
-        let ended: f64 = self.meters.iter().map(|m| m.ended).sum();
-        let watched: f64 = self.meters.iter().map(|m| m.watched_s).sum();
+    fn offered_load(&self, class: usize) -> (f64, f64) {
+        let (c, m) = (&self.settings.classes[class], &self.class_counts[class]);
+        let ended: f64 = self.class_counts.iter().map(|m| m.ended).sum();
+        let watched: f64 = self.class_counts.iter().map(|m| m.watched_s).sum();
         let usual_s = (watched + 30.0) / (ended + 1.0); // one end in half a minute until ends are counted
         let mean_s = (m.watched_s + 3.0 * usual_s) / (m.ended + 3.0);
         (m.arrivals / self.counted_s.max(1.0) * mean_s * c.scale, c.worth / c.scale)
     }
 
     /// Part of a middle-rung slot that a session takes at the rung which earns most for its rate [D1].
-    fn elastic(&self) -> f64 {
-        let per_kb = |r: &usize| self.set.ladder_worth[*r] / self.set.ladder_kb[*r];
-        let best = (0..self.set.ladder_kb.len()).max_by(|a, b| per_kb(a).total_cmp(&per_kb(b)));
-        best.map_or(1.0, |r| (self.set.ladder_kb[r] / self.slot_kb).min(1.0))
+    fn best_rung_slots(&self) -> f64 {
+        let per_kb = |r: &usize| self.settings.ladder_worth[*r] / self.settings.ladder_kb[*r];
+        let best = (0..self.settings.ladder_kb.len()).max_by(|a, b| per_kb(a).total_cmp(&per_kb(b)));
+        best.map_or(1.0, |r| (self.settings.ladder_kb[r] / self.slot_kb).min(1.0))
     }
 
     /// Whether the session's own pool takes one more; else it borrows another's idle slot.
-    pub(super) fn own_slot(&self, session: &Session) -> bool {
+    pub(super) fn has_own_slot(&self, session: &SessionState) -> bool {
         let class = session.request.class.0;
-        (self.held[class] + 1) as f64 * self.set.classes[class].scale <= self.pools[class] as f64
+        (self.class_sessions[class] + 1) as f64 * self.settings.classes[class].scale
+            <= self.pools[class] as f64
     }
 
     /// Counts a request as demand. Retries are none: viewers are known by their key and the mark of a return.
-    pub(super) fn count(&mut self, request: &Request, worth: f64) {
+    pub(super) fn count_arrival(&mut self, request: &Request, worth: f64) {
         let first = f64::from(u8::from(!request.returned));
-        let new = first * f64::from(u8::from(!self.viewers.contains_key(&request.viewer)));
-        self.probes += first * PROBES_PER_SESSION;
-        self.meters[request.class.0].arrivals += new;
-        self.viewers.insert(request.viewer, (self.now, worth));
+        let new = first * f64::from(u8::from(!self.known_viewers.contains_key(&request.viewer)));
+        self.probe_credit += first * PROBES_PER_SESSION;
+        self.class_counts[request.class.0].arrivals += new;
+        self.known_viewers.insert(request.viewer, (self.now, worth));
     }
 
     /// [D7] What a tenant's request is worth, by how much of its traffic is past this controller's part.
     pub(super) fn tenant_worth(&mut self, tenant: Option<TenantId>) -> f64 {
-        let Some(t) = tenant.map(|t| t.0).filter(|t| *t < self.tenants.len()) else { return 1.0 };
-        self.tenants[t] += 1.0;
-        let part = self.set.tenants[t].quota_per_s * TENANT_S / f64::from(self.set.controllers);
-        let within = (part + TENANT_SURE) / (self.tenants[t] + TENANT_SURE);
-        self.set.over_share_worth + (1.0 - self.set.over_share_worth) * within.min(1.0)
+        let Some(t) = tenant.map(|t| t.0).filter(|t| *t < self.tenant_arrivals.len()) else { return 1.0 };
+        self.tenant_arrivals[t] += 1.0;
+        let part =
+            self.settings.tenants[t].quota_per_s * TENANT_WINDOW_S / f64::from(self.settings.controllers);
+        let within = (part + TENANT_PRIOR_ARRIVALS) / (self.tenant_arrivals[t] + TENANT_PRIOR_ARRIVALS);
+        self.settings.over_share_worth + (1.0 - self.settings.over_share_worth) * within.min(1.0)
     }
 
     /// Whether the title of a session is known to exist: one has stood here.
-    pub(super) fn proven(&self, session: &Session) -> bool {
-        self.titles.contains_key(&session.request.title)
+    pub(super) fn is_proven(&self, session: &SessionState) -> bool {
+        self.proven_titles.contains_key(&session.request.title)
     }
 }
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -5,12 +5,12 @@
 /// Changes of a quantity as running totals, so that a look-up takes a binary search and not a walk over all
 /// changes of the span: at a thousand requests a second there are thousands.
 #[derive(Debug, Default)]
-pub(crate) struct Window {
+pub(crate) struct ChangeWindow {
     /// When, and the total from then on. The first stands for all before it.
     totals: VecDeque<(Micros, f64)>,
 }
 
-impl Window {
+impl ChangeWindow {
     /// Books a change at a time not before the last one's, and forgets what is older than `span`.
     pub(crate) fn add(&mut self, now: Micros, change: f64, span: Micros) {
         let total = self.totals.back().map_or(0.0, |t| t.1) + change;
@@ -42,7 +42,7 @@
 
     #[test]
     fn sums_are_those_of_a_plain_walk() {
-        let (mut window, mut plain) = (Window::default(), VecDeque::new());
+        let (mut window, mut plain) = (ChangeWindow::default(), VecDeque::new());
         let mut x = 7u64;
         for i in 0..2_000u64 {
             x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -60,6 +60,6 @@
 
     #[test]
     fn nothing_is_no_change() {
-        assert_eq!(Window::default().since(5), 0.0);
+        assert_eq!(ChangeWindow::default().since(5), 0.0);
     }
 }
