--- a/crates/core/src/rules/health.rs
+++ b/crates/core/src/rules/health.rs
@@ -45,8 +45,9 @@
     /// The turn of the common clock at a streamer, and whether it is this controller's. Each is for as many
     /// controllers as the pace allows; COLD_PACE leaves room for the one turn more that any second touches.
     pub(super) fn current_turn(&self, entry: &Entry) -> (u64, bool) {
-        let places = self.settings.fall_multiple * self.settings.streams_of(entry) * self.settings.cold_from;
-        let pace = COLD_PACE_SHARE * places / (self.settings.warm_up_us as f64 / US_PER_S).max(1e-3);
+        let capacity =
+            self.settings.fall_multiple * self.settings.streams_of(entry) * self.settings.cold_from;
+        let pace = COLD_PACE_SHARE * capacity / (self.settings.warm_up_us as f64 / US_PER_S).max(1e-3);
         let group = (pace * MAX_COLD_TURN_S).max(1.0) as u64;
         // Neighbouring cells have their turns in turn, lest all holders of a title be another's at once.
         let turn = (self.now as f64 / US_PER_S * pace / group as f64) as u64 + u64::from(entry.cell);
@@ -81,12 +82,12 @@
         &mut self,
         id: RequestId,
         at: StreamerId,
-        how: Outcome,
+        outcome: Outcome,
         last: bool,
         out: &mut Actions,
     ) {
-        let (evidence, why) = match how {
-            // [D10] An error on a title that never stood says as much of the title.
+        // [D10] An error on a title that never stood says as much of the title.
+        let (evidence, why) = match outcome {
             Outcome::Failed if self.sessions.get(&id).is_some_and(|s| !s.playing && self.is_proven(s)) => {
                 (1.5, "set-up failed")
             }
@@ -100,8 +101,8 @@
         let now = self.now;
         match self.streamers.get_mut(&at) {
             // It may come back cold before discovery says so.
-            Some(s) if matches!(how, Outcome::Reset | Outcome::ConnectError) => s.cold_since = Some(now),
-            Some(s) if how == Outcome::QueueFull && self.settings.full_from > 0.0 => {
+            Some(s) if matches!(outcome, Outcome::Reset | Outcome::ConnectError) => s.cold_since = Some(now),
+            Some(s) if outcome == Outcome::QueueFull && self.settings.full_from > 0.0 => {
                 s.link.observe(
                     now,
                     s.link.last_load.map_or(0.0, |x| x.1).max(self.settings.full_from),
@@ -112,9 +113,9 @@
         }
         self.assign_streamer(id, None);
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        let over = session.playing && how == Outcome::Ok;
-        self.class_counts[session.request.class.0].ended += f64::from(u8::from(over));
-        let ran = (!how.never_ran()).then_some((at, session.changed_at));
+        let finished = session.playing && outcome == Outcome::Ok;
+        self.class_counts[session.request.class.0].ended += f64::from(u8::from(finished));
+        let ran = (!outcome.never_ran()).then_some((at, session.changed_at));
         session.may_have_run = session.may_have_run.or(ran);
         if last || session.answered {
             self.sessions.remove(&id);
@@ -124,7 +125,7 @@
     }
 
     pub(super) fn client_gone(&mut self, id: RequestId) {
-        self.sessions.retain(|i, s| *i != id || s.streamer.is_some());
+        self.sessions.retain(|other, s| *other != id || s.streamer.is_some());
         self.sessions.entry(id).and_modify(|s| s.answered = true);
     }
 
@@ -134,12 +135,13 @@
         let class = &self.settings.classes[session.request.class.0];
         let ran = session.may_have_run.is_some();
         let harmless = !ran || class.effect != Effect::AtMostOnce;
-        let most = if ran && !self.is_proven(session) {
+        let max_attempts = if ran && !self.is_proven(session) {
             MAX_UNPROVEN_ATTEMPTS
         } else {
             self.settings.max_attempts as usize
         };
-        let in_time = self.now + MIN_RETRY_TIME_US < session.deadline && session.attempted.len() < most;
+        let in_time =
+            self.now + MIN_RETRY_TIME_US < session.deadline && session.attempted.len() < max_attempts;
         if harmless && in_time && (session.attempted.is_empty() || self.budget_allows()) {
             self.attempt(id, out);
         } else {
@@ -164,15 +166,16 @@
         let request = &session.request;
         let class = &self.settings.classes[request.class.0];
         let holds = self.settings.holds(request, &s.entry) && s.entry.standing == Standing::Up;
-        let open = session.streamer.is_none() && !session.answered && self.limits.allowed(request, at);
-        let seat = self.title_seats.get(&(request.title, request.class)).copied().unwrap_or(0);
-        let seated = class.seats == 0 || seat < class.seats;
+        let permitted = session.streamer.is_none() && !session.answered && self.limits.allowed(request, at);
+        let seats_taken = self.title_seats.get(&(request.title, request.class)).copied().unwrap_or(0);
+        let seat_free = class.seats == 0 || seats_taken < class.seats;
         let harmless = match (session.may_have_run, class.effect) {
             (None, _) | (_, Effect::Idempotent) => true,
             (Some(_), Effect::AtMostOnce) => false,
-            (Some((before, when)), Effect::Deduplicated) => {
-                let known = |b: &StreamerState| class.dedup_scope.covers(&b.entry, &s.entry);
-                self.now < when + class.repeat_window_us && self.streamers.get(&before).is_some_and(known)
+            (Some((first, sent_at)), Effect::Deduplicated) => {
+                let recognised = |first: &StreamerState| class.dedup_scope.covers(&first.entry, &s.entry);
+                self.now < sent_at + class.repeat_window_us
+                    && self.streamers.get(&first).is_some_and(recognised)
             }
         };
         // A barred streamer is tried now and then, by a session that can be set up again without harm.
@@ -180,8 +183,8 @@
             class.effect == Effect::Idempotent && self.now >= s.next_trial_at && self.is_proven(session);
         let trusted = self.suspicion(s) < BARRED_SUSPICION || (trial && self.can_try_barred(id));
         holds
-            && open
-            && seated
+            && permitted
+            && seat_free
             && harmless
             && trusted
             && (!self.is_cold(s) || self.unused_cold_turn(s).is_some())
@@ -202,11 +205,11 @@
             (turn.or(s.last_cold_turn), s.next_trial_at.max(now + TRIAL_INTERVAL_US));
         s.connected_until = now + self.settings.keep_us;
         let class = &self.settings.classes[session.request.class.0];
-        let left = session.deadline.saturating_sub(now);
         // One that can be sent again gets its answer in time for a second attempt within the usual bound.
-        let again = class.effect != Effect::AtMostOnce
+        let left_us = session.deadline.saturating_sub(now);
+        let repeatable = class.effect != Effect::AtMostOnce
             && session.attempted.len() + 1 < self.settings.max_attempts as usize;
-        let try_for_us = if again { left.min(class.target_us / 2) } else { left }.max(1);
+        let try_for_us = if repeatable { left_us.min(class.target_us / 2) } else { left_us }.max(1);
         session.attempted.push(at);
         session.changed_at = now;
         self.retry_times.extend((session.attempted.len() > 1).then_some(now));
@@ -225,8 +228,8 @@
             || (class.effect == Effect::Deduplicated && class.dedup_scope == DedupScope::All);
         let request = self.sessions.remove(&id).map(|s| s.request).unwrap_or_default();
         if harmless {
-            let (most, chance) = (self.settings.max_hold_off_us, self.chance());
-            let hold_off_us = self.limits.hold_off(&request, most, chance);
+            let (max_hold_off, chance) = (self.settings.max_hold_off_us, self.chance());
+            let hold_off_us = self.limits.hold_off(&request, max_hold_off, chance);
             out.push(Action::Refuse { request: id, hold_off_us });
         } else {
             out.push(Action::EndFailed(id));
--- a/crates/core/src/rules/load.rs
+++ b/crates/core/src/rules/load.rs
@@ -9,14 +9,14 @@
     }
 
     /// Takes a report or note of how things stood at `at`, by the part of it that is believed.
-    pub(super) fn observe(&mut self, at: Micros, ratio: f64, belief: f64) {
-        if self.last_load.is_some_and(|s| s.0 > at) {
+    pub(super) fn observe(&mut self, at: Micros, ratio: f64, gain: f64) {
+        if self.last_load.is_some_and(|last| last.0 > at) {
             return;
         }
-        let ratio = match self.last_load.filter(|s| s.0 + REPORT_FRESH_US > at) {
-            Some((before, was)) => {
-                let expected = (was + self.own_changes.between(before, at) / self.capacity_kb).max(0.0);
-                expected + belief * (ratio - expected)
+        let ratio = match self.last_load.filter(|last| last.0 + REPORT_FRESH_US > at) {
+            Some((before, last)) => {
+                let expected = (last + self.own_changes.between(before, at) / self.capacity_kb).max(0.0);
+                expected + gain * (ratio - expected)
             }
             None => ratio,
         };
@@ -24,14 +24,14 @@
     }
 
     /// What is asked over what is given. As a report ages, `usual` takes its place.
-    fn load(&self, now: Micros, usual: f64) -> f64 {
-        let Some((at, ratio)) = self.last_load else { return usual };
+    fn load(&self, now: Micros, expected: f64) -> f64 {
+        let Some((at, ratio)) = self.last_load else { return expected };
         let trust = (-(now.saturating_sub(at) as f64) / (REPORT_TRUST_S * US_PER_S)).exp();
-        trust * (ratio + self.own_changes.since(at) / self.capacity_kb).max(0.0) + (1.0 - trust) * usual
+        trust * (ratio + self.own_changes.since(at) / self.capacity_kb).max(0.0) + (1.0 - trust) * expected
     }
 
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
-        self.last_load.is_some_and(|s| s.0 + REPORT_FRESH_US > now)
+        self.last_load.is_some_and(|last| last.0 + REPORT_FRESH_US > now)
     }
 
     pub(super) fn short_within(&self, now: Micros, span: Micros) -> bool {
@@ -41,15 +41,15 @@
 
 impl Controller {
     /// Use without a fresh report [D4]: own use, the others' mean, more where own ones are over the expected.
-    fn expected_load(&self, g: &LinkState, which: usize) -> f64 {
-        let (told, n) = (self.mean_loads[which], f64::from(self.settings.controllers));
+    fn expected_load(&self, link: &LinkState, which: usize) -> f64 {
+        let (reported, controllers) = (self.mean_loads[which], f64::from(self.settings.controllers));
         let all_kb = [self.settings.fleet_kb, self.settings.rack_kb * self.racks.len() as f64];
         let scarce_kb = all_kb[0].min(all_kb[1]).max(1.0);
-        let mean = (self.own_kb * n / scarce_kb + told.0 * told.1) / (1.0 + told.0);
-        let expected = self.own_sessions() * g.capacity_kb / all_kb[which].max(1.0);
-        let more =
-            (SKEW_PRIOR_SESSIONS.max(n) + g.own_sessions as f64) / (SKEW_PRIOR_SESSIONS.max(n) + expected);
-        mean * more * (1.0 - 1.0 / n) + g.own_kb / g.capacity_kb
+        let mean = (self.own_kb * controllers / scarce_kb + reported.0 * reported.1) / (1.0 + reported.0);
+        let expected = self.own_sessions() * link.capacity_kb / all_kb[which].max(1.0);
+        let skew = (SKEW_PRIOR_SESSIONS.max(controllers) + link.own_sessions as f64)
+            / (SKEW_PRIOR_SESSIONS.max(controllers) + expected);
+        mean * skew * (1.0 - 1.0 / controllers) + link.own_kb / link.capacity_kb
     }
 
     pub(super) fn own_sessions(&self) -> f64 {
@@ -60,8 +60,8 @@
     pub(super) fn observe_load(&mut self, id: StreamerId, which: usize, at: Micros, ratio: f64) {
         let Some(s) = self.streamers.get_mut(&id).filter(|_| (0.0..=50.0).contains(&ratio)) else { return };
         let uplink = self.racks.get_mut(&self.settings.rack_of(&s.entry));
-        let gauge = if which == 0 { Some(&mut s.link) } else { uplink };
-        gauge.into_iter().for_each(|g| g.observe(at, ratio, REPORT_GAIN));
+        let link = if which == 0 { Some(&mut s.link) } else { uplink };
+        link.into_iter().for_each(|link| link.observe(at, ratio, REPORT_GAIN));
         let (count, mean) = &mut self.mean_loads[which];
         *count = (*count + 1.0).min(MAX_MEAN_REPORTS);
         *mean += (ratio.min(3.0) - *mean) / *count;
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn rack_load(&self, rack: u32) -> f64 {
-        self.racks.get(&rack).map_or(0.0, |g| g.load(self.now, self.expected_load(g, 1)))
+        self.racks.get(&rack).map_or(0.0, |uplink| uplink.load(self.now, self.expected_load(uplink, 1)))
     }
 
     /// Whether a streamer is short alone: an uplink shorts all its streamers alike.
@@ -85,19 +85,21 @@
     }
 
     /// Spread of a use that is but a guess by own sessions: no load is asked for, and nothing was heard.
-    pub(super) fn load_uncertainty(&self, g: &LinkState) -> f64 {
-        let told =
-            self.settings.reports != ReportMode::ProbeOnly || self.settings.probes || g.is_fresh(self.now);
-        if told { 0.0 } else { self.own_sessions().max(1.0).sqrt().recip() }
+    pub(super) fn load_uncertainty(&self, link: &LinkState) -> f64 {
+        let known =
+            self.settings.reports != ReportMode::ProbeOnly || self.settings.probes || link.is_fresh(self.now);
+        if known { 0.0 } else { self.own_sessions().max(1.0).sqrt().recip() }
     }
 
     /// Room for one more, kB a second, at a streamer: the lesser of link's and uplink's up to `limit`.
     pub(super) fn spare_kb(&self, s: &StreamerState, limit: f64) -> f64 {
-        let limit = |g: &LinkState| limit * (1.0 + self.load_uncertainty(g)); // a guess turns nobody away
+        let limit = |link: &LinkState| limit * (1.0 + self.load_uncertainty(link));
         let rack = self.settings.rack_of(&s.entry);
-        let uplink =
-            self.racks.get(&rack).map_or(f64::MAX, |g| (limit(g) - self.rack_load(rack)) * g.capacity_kb);
-        ((limit(&s.link) - self.link_load(s)) * s.link.capacity_kb).min(uplink)
+        let uplink_kb = self
+            .racks
+            .get(&rack)
+            .map_or(f64::MAX, |uplink| (limit(uplink) - self.rack_load(rack)) * uplink.capacity_kb);
+        ((limit(&s.link) - self.link_load(s)) * s.link.capacity_kb).min(uplink_kb)
     }
 
     /// Takes a load report that came along with an answer or a probe.
@@ -116,10 +118,10 @@
         &mut self,
         of: RequestId,
         id: StreamerId,
-        told: (NoteKind, f64),
+        note: (NoteKind, f64),
         out: &mut Actions,
     ) {
-        let (kind, value) = told;
+        let (kind, value) = note;
         let (now, late) = (self.now, self.now.saturating_sub(self.settings.seen_after_us));
         let setting_up = self.sessions.get(&of).is_some_and(|s| s.changed_at + REPORT_FRESH_US / 10 > now);
         let at = if setting_up { now } else { late };
@@ -131,10 +133,12 @@
         }
         let Some(rack) = self.streamers.get(&id).map(|s| self.settings.rack_of(&s.entry)) else { return };
         let alone = self.is_short_alone(id, rack);
-        let (Some(s), Some(gauge)) = (self.streamers.get_mut(&id), self.racks.get_mut(&rack)) else { return };
+        let (Some(s), Some(uplink)) = (self.streamers.get_mut(&id), self.racks.get_mut(&rack)) else {
+            return;
+        };
         if value > 0.0 && value < 0.98 {
             s.link.short_delivery_at = Some(now);
-            let blamed = if alone || value < STALLED_DELIVERY { &mut s.link } else { gauge };
+            let blamed = if alone || value < STALLED_DELIVERY { &mut s.link } else { uplink };
             blamed.short_delivery_at = Some(now);
             blamed.observe(late, 1.0 / value.max(STALLED_DELIVERY), DELIVERY_GAIN);
             if value < STALLED_DELIVERY {
@@ -142,8 +146,10 @@
             }
         } else if value >= 0.98 {
             // Delivery is whole again: an account above 1 was wrong or is over, and others changed it, too.
-            let over = [&mut s.link, gauge].into_iter().filter(|g| g.last_load.is_some_and(|s| s.1 > 1.0));
-            over.for_each(|g| g.last_load = None);
+            let overloaded = [&mut s.link, uplink]
+                .into_iter()
+                .filter(|link| link.last_load.is_some_and(|last| last.1 > 1.0));
+            overloaded.for_each(|link| link.last_load = None);
         }
     }
 }
--- a/crates/core/src/rules/mod.rs
+++ b/crates/core/src/rules/mod.rs
@@ -1,5 +1,6 @@
 //! All decisions of stonewharf, in the terms of `src/interface.rs`. docs/design.md tells what comes from Chen
 //! & Verma's paper and what departs from it; marks such as [D3] refer to the list there.
+mod constants;
 mod health;
 mod load;
 mod placement;
@@ -8,61 +9,12 @@
 use crate::interface::*;
 use crate::limits::LimitSet;
 use crate::window::ChangeWindow;
+use constants::*;
 pub use pools::{erlang_payoff, split_slots};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const US_PER_S: f64 = 1e6; // microseconds
-const SWEEP_INTERVAL_US: Micros = 250_000; // between looks at rungs, silence and probes: well under a note's lateness
-const SPLIT_INTERVAL_US: Micros = 10_000_000; // between choices of the split (the design's default)
-const COUNT_DECAY: f64 = 0.85; // what one period leaves of the counts before it: about a minute of memory
-const MIN_ARRIVALS_FOR_SPLIT: f64 = 6.0; // arrivals from which the counts decide the split
-const SLOT_LINK_SHARE: f64 = 0.9; // part of a link that slots may fill: the spread of title rates takes the rest
-const MAX_LOAD_OWN_POOL: f64 = 0.90; // use of a link or uplink up to which a session of its own pool may be set up
-const MAX_LOAD_BORROWED: f64 = 0.86; // the same for a borrower: a little is kept for those who own the room
-const MAX_LOAD_STEP_UP: f64 = 0.82; // use up to which playing sessions are stepped up
-const MIN_LOAD_STEP_DOWN: f64 = 1.0; // use from which sessions are stepped down: a step costs more than a short spell
-const STEP_DOWN_TARGET_LOAD: f64 = 0.95; // use that stepping down aims at
-const START_RATE_FACTOR: f64 = 1.15; // a new session may start at so many times the fair rate: rungs are coarse
-const STEP_UP_WAIT_US: Micros = 30_000_000; // without short delivery before a step up (the design's default)
-const STEP_UP_WAIT_REPORTED_US: Micros = 7_000_000; // the same where a fresh report shows room [D3]
-const REPORT_FRESH_US: Micros = 5_000_000; // a report no older than this is fresh
-const REPORT_TRUST_S: f64 = 12.0; // seconds in which a report loses most of its weight: sessions come and go
-const REPORT_GAIN: f64 = 0.3; // part of a report's surprise that is believed: reports are noisy
-const DELIVERY_GAIN: f64 = 0.8; // the same of a note of delivery
-const SHORT_DELIVERY_HOLD_US: Micros = 2_000_000; // notes of short delivery come once a second: one still holds for so long
-const STALLED_DELIVERY: f64 = 0.3; // share delivered under which a streamer stalls: less tells nothing of its load
-const MAX_MEAN_REPORTS: f64 = 10.0; // reports over which the mean use of links, or of uplinks, is taken
-const ASSUMED_REPORT_AGE_US: Micros = 300_000; // how old a report in an answer is taken to be
-const MAX_REPORT_AGE_US: Micros = 600_000; // how old it may be: refreshed now and then, and late
-const SKEW_PRIOR_SESSIONS: f64 = 4.0; // own sessions on a link that say as much of the others' there as the mean does
-const SUSPICION_HALF_LIFE_S: f64 = 10.0; // seconds in which suspicion halves
-const BARRED_SUSPICION: f64 = 1.0; // suspicion from which a streamer gets nothing but trials
-const MAX_SUSPICION: f64 = 3.0; // most suspicion: one and a half half-lives from being tried freely again
-const SUCCESS_SUSPICION_FACTOR: f64 = 0.4; // part of a suspicion that a session which stands leaves
-const TRIAL_INTERVAL_US: Micros = 2_000_000; // between trials of a barred streamer
-const SUSPICION_COST: f64 = 0.5; // suspicion 1 weighs as much as so much of a link in use
-const COLD_PACE_SHARE: f64 = 0.7; // part of the cold pace used: the rest is for chance and lateness
-const MAX_COLD_TURN_S: f64 = 0.4; // a turn at a cold streamer at most, where its pace allows several in one
-const PROBES_PER_SESSION: f64 = 1.5; // probes a session earns: for its set-up and for steps up
-const MAX_PROBE_PRICE: f64 = 0.04; // part of a session's worth that a probe brings at most: dearer ones never pay
-const MAX_CANDIDATES: usize = 64; // streamers that a request is weighed against at most
-const MAX_CHOICES: usize = 2; // streamers asked before a set-up at most: the power of two choices
-const EXPLORE_CHANCE: f64 = 0.1; // chance to look around in a sweep: controllers must not all ask at once
-const CONTROLLERS_PER_PROBE: f64 = 10.0; // controllers to one that asks while a step does not yet show
-const TENANT_WINDOW_S: f64 = 15.0; // seconds over which a tenant's arrivals are set against its quota
-const TENANT_PRIOR_ARRIVALS: f64 = 3.0; // arrivals as good as the belief that a tenant keeps to its share
-const MIN_RETRY_TIME_US: Micros = 30_000; // less of the viewer's time than this is not worth a further attempt
-const PLACEMENT_JITTER: f64 = 0.06; // of a link, by which equal streamers are told apart: controllers must not herd
-const MAX_OPEN_PER_CONNECTION: usize = 256; // open requests of one connection: more are refused at once
-const MAX_OPEN_UNPROVEN: usize = 16; // open requests for titles that never stood
-const MAX_UNPROVEN_ATTEMPTS: usize = 2; // attempts of such a request where one may have run
-const TITLE_MEMORY_US: Micros = 600_000_000; // a title that stood is known to exist for so long
-const MAKE_ROOM_WAIT_US: Micros = 3_000_000; // a session is not stepped down again for a newcomer within this
-const MAX_LOSS_SHARE: f64 = 0.9; // part of a newcomer's worth that may be lost for it
-const SWEEP_TIMER: TimerTag = TimerTag(1);
-
 /// What a controller counts of a class: arrivals of first tries, ends, time watched (ends over time is μ).
 #[derive(Default)]
 struct ClassCounts {
@@ -99,8 +51,8 @@
     sessions: BTreeSet<RequestId>,
 }
 
-type RungStep = (f64, f64, RequestId, StreamerId); // worth a kB, kB a second, which, where
-type Actions = Vec<Action>; // what is to be done
+type RungStep = (f64, f64, RequestId, StreamerId);
+type Actions = Vec<Action>;
 
 /// A request taken and not yet ended, or a session.
 #[derive(Default)]
@@ -155,8 +107,8 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let (classes, ladder) = (settings.classes.len(), &settings.ladder_kb);
-        let n = f64::from(settings.controllers);
-        let pays = settings.reports != ReportMode::Silent && settings.probe_price < MAX_PROBE_PRICE;
+        let controllers = f64::from(settings.controllers);
+        let probes_pay = settings.reports != ReportMode::Silent && settings.probe_price < MAX_PROBE_PRICE;
         Ok(Controller {
             rng: Some(ChaCha8Rng::seed_from_u64(seed)),
             now,
@@ -165,17 +117,21 @@
             class_sessions: vec![0; classes],
             class_counts: (0..classes).map(|_| ClassCounts::default()).collect(),
             pools: vec![0; classes],
-            probe_credit: PROBES_PER_SESSION, // on credit, until a session stands
-            tenant_arrivals: settings.tenants.iter().map(|t| t.quota_per_s * TENANT_WINDOW_S / n).collect(),
+            probe_credit: PROBES_PER_SESSION, // in advance, until a session starts
+            tenant_arrivals: settings
+                .tenants
+                .iter()
+                .map(|t| t.quota_per_s * TENANT_WINDOW_S / controllers)
+                .collect(),
             slot_kb: (ladder[0] * ladder[ladder.len() - 1]).sqrt(),
-            settings: Settings { probes: settings.probes && pays, ..settings },
+            settings: Settings { probes: settings.probes && probes_pay, ..settings },
             ..Controller::default()
         })
     }
 
     /// A number from 0 to 1 by this controller's own dice.
     fn chance(&mut self) -> f64 {
-        self.rng.as_mut().map_or(0.5, |r| f64::from(r.next_u32()) / f64::from(u32::MAX))
+        self.rng.as_mut().map_or(0.5, |rng| f64::from(rng.next_u32()) / f64::from(u32::MAX))
     }
 
     /// Takes one event at its time and adds what is to be done.
@@ -184,8 +140,9 @@
         self.limits.observe_event(self.now, &event, out);
         match event {
             Event::List { scope, entries } => self.apply_list(scope, entries, out),
-            Event::Inbound(r) | Event::Preexisting(r, _)
-                if r.class.0 >= self.class_sessions.len() || self.sessions.contains_key(&r.id) => {}
+            Event::Inbound(request) | Event::Preexisting(request, _)
+                if request.class.0 >= self.class_sessions.len()
+                    || self.sessions.contains_key(&request.id) => {}
             Event::Inbound(request) => self.admit(request, out),
             Event::Preexisting(request, streamer) => self.adopt_session(request, streamer),
             Event::Started { request, streamer, .. } => self.set_up_done(request, streamer),
@@ -206,28 +163,29 @@
     /// Takes discovery's news: new places, drains, restarts.
     fn apply_list(&mut self, scope: ListScope, entries: Vec<Entry>, out: &mut Actions) {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
-            self.streamers.values_mut().for_each(|s| s.entry.standing = Standing::Gone); // unless named below
+            self.streamers.values_mut().for_each(|s| s.entry.standing = Standing::Gone);
         }
         for entry in entries {
             let capacity_kb =
                 (entry.weight * self.settings.weight_kb).clamp(1.0, self.settings.fleet_kb.max(1.0));
             self.racks.entry(self.settings.rack_of(&entry)).or_default().capacity_kb = self.settings.rack_kb;
             // Whoever had this controller's place before it may have used the turn that is open.
-            let cold_turn = Some(self.current_turn(&entry).0);
-            let s = self.streamers.entry(entry.streamer).or_insert_with(|| StreamerState {
+            let last_cold_turn = Some(self.current_turn(&entry).0);
+            let streamer = self.streamers.entry(entry.streamer).or_insert_with(|| StreamerState {
                 entry: entry.clone(),
                 link: LinkState { capacity_kb, ..LinkState::default() },
                 cold_since: entry.started_at,
-                last_cold_turn: cold_turn,
+                last_cold_turn,
                 ..StreamerState::default()
             });
-            if entry.started_at > s.entry.started_at {
-                // A restart: what was held against it is void.
-                (s.cold_since, s.suspicion, s.link.last_load) = (entry.started_at, 0.0, None);
+            // A restart: what was held against it is void.
+            if entry.started_at > streamer.entry.started_at {
+                (streamer.cold_since, streamer.suspicion, streamer.link.last_load) =
+                    (entry.started_at, 0.0, None);
             }
-            s.entry = entry;
+            streamer.entry = entry;
         }
-        self.discovery_asked_at = self.discovery_asked_at.filter(|_| scope != ListScope::Failed); // the next sweep asks again
+        self.discovery_asked_at = self.discovery_asked_at.filter(|_| scope != ListScope::Failed);
         if !std::mem::replace(&mut self.sweeping, true) {
             self.sweep(out);
             self.rechoose_split(out);
@@ -235,23 +193,23 @@
     }
 
     /// Moves a session's rate, seat and slot to a streamer, or away.
-    fn assign_streamer(&mut self, id: RequestId, at: Option<StreamerId>) {
+    fn assign_streamer(&mut self, id: RequestId, to: Option<StreamerId>) {
         let Some(session) = self.sessions.get(&id) else { return };
         let (class, seat) = (session.request.class, (session.request.title, session.request.class));
         let kb = self.settings.rate_kb(class, session.rung);
-        let Some(streamer) = at.or(session.streamer).filter(|_| at != session.streamer) else { return };
-        let sign: isize = if at.is_some() { 1 } else { -1 };
-        let held = self.title_seats.entry(seat).or_default();
-        *held = held.saturating_add_signed(sign);
-        if *held == 0 {
-            self.title_seats.remove(&seat); // titles come and go
+        let Some(streamer) = to.or(session.streamer).filter(|_| to != session.streamer) else { return };
+        let sign: isize = if to.is_some() { 1 } else { -1 };
+        let seats_taken = self.title_seats.entry(seat).or_default();
+        *seats_taken = seats_taken.saturating_add_signed(sign);
+        if *seats_taken == 0 {
+            self.title_seats.remove(&seat); // keeps the map small: titles come and go
         }
         self.class_sessions[class.0] = self.class_sessions[class.0].saturating_add_signed(sign);
         self.record_rate_change(streamer, kb * sign as f64, sign);
-        let (s, session) = (self.streamers.get_mut(&streamer), self.sessions.get_mut(&id));
-        let (Some(s), Some(session)) = (s, session) else { return };
-        let _ = if at.is_some() { s.sessions.insert(id) } else { s.sessions.remove(&id) };
-        session.streamer = at;
+        let (state, session) = (self.streamers.get_mut(&streamer), self.sessions.get_mut(&id));
+        let (Some(state), Some(session)) = (state, session) else { return };
+        let _ = if to.is_some() { state.sessions.insert(id) } else { state.sessions.remove(&id) };
+        session.streamer = to;
     }
 
     /// Books an own change of rate, and of the number of sessions, at a streamer's link and uplink.
@@ -259,36 +217,36 @@
         let Some(s) = self.streamers.get_mut(&at) else { return };
         let uplink = self.racks.get_mut(&self.settings.rack_of(&s.entry));
         self.own_kb = (self.own_kb + kb).max(0.0);
-        for g in [Some(&mut s.link), uplink].into_iter().flatten() {
-            g.own_sessions = g.own_sessions.saturating_add_signed(sessions);
-            g.add_change(self.now, kb);
+        for link in [Some(&mut s.link), uplink].into_iter().flatten() {
+            link.own_sessions = link.own_sessions.saturating_add_signed(sessions);
+            link.add_change(self.now, kb);
         }
     }
 
     fn sweep(&mut self, out: &mut Actions) {
         out.push(Action::Timer { after_us: SWEEP_INTERVAL_US, tag: SWEEP_TIMER });
         let now = self.now;
-        let passed = now.saturating_sub(std::mem::replace(&mut self.swept_at, now)) as f64 / US_PER_S;
-        self.counted_s += passed;
+        let passed_s = now.saturating_sub(std::mem::replace(&mut self.swept_at, now)) as f64 / US_PER_S;
+        self.counted_s += passed_s;
         for session in self.sessions.values().filter(|s| s.playing) {
-            self.class_counts[session.request.class.0].watched_s += passed;
+            self.class_counts[session.request.class.0].watched_s += passed_s;
         }
-        self.tenant_arrivals.iter_mut().for_each(|count| *count *= (-passed / TENANT_WINDOW_S).exp());
+        self.tenant_arrivals.iter_mut().for_each(|count| *count *= (-passed_s / TENANT_WINDOW_S).exp());
         let due = self.discovery_asked_at.is_none_or(|at| at + self.settings.ask_within_us / 2 < now);
         if self.settings.discovery_on_request && due {
             self.discovery_asked_at = Some(now);
             out.push(Action::Subscribe);
         }
         self.adjust_rungs(out);
-        self.resume_waiting(|asked| asked.1 + 2 * SWEEP_INTERVAL_US <= now, out); // a probe lost must not hold it
+        self.resume_waiting(|awaited| awaited.1 + 2 * SWEEP_INTERVAL_US <= now, out);
         self.probe_for_room(out);
         if now >= self.split_chosen_at + SPLIT_INTERVAL_US {
             self.split_chosen_at = now;
             self.rechoose_split(out);
             let all =
-                self.class_counts.iter_mut().flat_map(|m| [&mut m.arrivals, &mut m.ended, &mut m.watched_s]);
+                self.class_counts.iter_mut().flat_map(|c| [&mut c.arrivals, &mut c.ended, &mut c.watched_s]);
             all.chain([&mut self.counted_s]).for_each(|count| *count *= COUNT_DECAY);
-            self.known_viewers.retain(|_, v| v.0 + 6 * SPLIT_INTERVAL_US > now);
+            self.known_viewers.retain(|_, viewer| viewer.0 + 6 * SPLIT_INTERVAL_US > now);
             self.proven_titles.retain(|_, at| *at + TITLE_MEMORY_US > now);
             self.streamers.retain(|_, s| s.entry.standing != Standing::Gone || !s.sessions.is_empty());
         }
--- a/crates/core/src/rules/placement.rs
+++ b/crates/core/src/rules/placement.rs
@@ -8,11 +8,11 @@
         let unproven = || self.sessions.values().filter(|s| !s.answered && !self.is_proven(s)).count();
         if request.beside >= MAX_OPEN_PER_CONNECTION || (!proven && unproven() >= MAX_OPEN_UNPROVEN) {
             self.sessions.insert(id, SessionState { request, ..SessionState::default() });
-            return self.answer(id, out); // what is crowded out by one connection, or by what nobody knows
+            return self.answer(id, out);
         }
         self.request_times.extend(self.settings.attempt_budget.map(|_| self.now));
-        let known = self.known_viewers.get(&request.viewer).map(|v| v.1);
-        let worth = known.unwrap_or_else(|| self.tenant_worth(request.tenant));
+        let known_worth = self.known_viewers.get(&request.viewer).map(|viewer| viewer.1);
+        let worth = known_worth.unwrap_or_else(|| self.tenant_worth(request.tenant));
         if proven {
             self.count_arrival(&request, worth);
         }
@@ -24,7 +24,7 @@
     }
 
     pub(super) fn adopt_session(&mut self, request: Request, streamer: StreamerId) {
-        self.ignore_reports_until = self.now + MAX_REPORT_AGE_US; // reports may be of empty links, from before
+        self.ignore_reports_until = self.now + MAX_REPORT_AGE_US;
         self.probe_credit += PROBES_PER_SESSION;
         let (id, rung) = (request.id, self.settings.classes[request.class.0].lowest_rung);
         self.known_viewers.insert(request.viewer, (self.now, 1.0));
@@ -48,23 +48,26 @@
         let limit = if self.has_own_slot(session) { MAX_LOAD_OWN_POOL } else { MAX_LOAD_BORROWED };
         let holders = self.streamers.values().filter(|s| self.settings.holds(&session.request, &s.entry));
         let holders: Vec<_> = holders.map(|s| s.entry.streamer).collect();
-        let step = holders.len().div_ceil(MAX_CANDIDATES).max(1); // of very many a part, another one each time
+        let step = holders.len().div_ceil(MAX_CANDIDATES).max(1);
         let skip = if step > 1 { (self.chance() * step as f64) as usize } else { 0 };
-        let able = holders.into_iter().skip(skip).step_by(step).filter(|s| self.may_send(id, *s));
-        let ranks = able.collect::<Vec<_>>().into_iter().map(|s| {
+        let eligible = holders.into_iter().skip(skip).step_by(step).filter(|s| self.may_send(id, *s));
+        let costs = eligible.collect::<Vec<_>>().into_iter().map(|s| {
             let jitter = self.chance() * PLACEMENT_JITTER;
             let trial = self.suspicion(&self.streamers[&s]) >= BARRED_SUSPICION && self.can_try_barred(id);
             let cost = self.cost(&self.sessions[&id], &self.streamers[&s]);
             (if trial { -1.0 } else { cost } + jitter, s)
         });
-        let mut ranked: Vec<_> = ranks.collect();
+        let mut ranked: Vec<_> = costs.collect();
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         if ranked.first().is_some_and(|best| self.probe_before_choice(id, best.1, out)) {
             return;
         }
-        let least = self.settings.rate_kb(class, self.settings.classes[class.0].lowest_rung);
-        let room = ranked.iter().map(|r| r.1).find(|s| self.spare_kb(&self.streamers[s], limit) >= least);
-        let Some(s) = room.or_else(|| self.make_room(id, &ranked, out)) else { return self.answer(id, out) };
+        let lowest_kb = self.settings.rate_kb(class, self.settings.classes[class.0].lowest_rung);
+        let with_room =
+            ranked.iter().map(|r| r.1).find(|s| self.spare_kb(&self.streamers[s], limit) >= lowest_kb);
+        let Some(s) = with_room.or_else(|| self.make_room(id, &ranked, out)) else {
+            return self.answer(id, out);
+        };
         let rung = self.start_rung(&self.sessions[&id], &self.streamers[&s], limit);
         self.send(id, s, rung, out);
     }
@@ -73,62 +76,68 @@
     fn make_room(
         &mut self,
         id: RequestId,
-        best: &[(f64, StreamerId)],
+        ranked: &[(f64, StreamerId)],
         out: &mut Actions,
     ) -> Option<StreamerId> {
         let session = self.sessions.get(&id)?;
         let limit = if self.has_own_slot(session) { MAX_LOAD_OWN_POOL } else { MAX_LOAD_BORROWED };
         let class = &self.settings.classes[session.request.class.0];
-        let least = self.settings.rate_kb(session.request.class, class.lowest_rung);
-        let gain =
+        let lowest_kb = self.settings.rate_kb(session.request.class, class.lowest_rung);
+        let max_loss =
             self.settings.ladder_worth[class.lowest_rung] * class.worth * session.worth * MAX_LOSS_SHARE;
-        let (at, down): (_, Vec<_>) = best.iter().take(MAX_CHOICES).find_map(|(_, at)| {
-            let s = &self.streamers[at];
-            let need = least - self.spare_kb(s, limit);
-            // What a link lacks is freed on it, what an uplink lacks anywhere on it.
-            let link_full = (limit - self.link_load(s)) * s.link.capacity_kb < least;
+        // What a link lacks is freed on it, what an uplink lacks anywhere on it.
+        let (streamer, sessions): (_, Vec<_>) = ranked.iter().take(MAX_CHOICES).find_map(|(_, id)| {
+            let s = &self.streamers[id];
+            let needed_kb = lowest_kb - self.spare_kb(s, limit);
+            let link_full = (limit - self.link_load(s)) * s.link.capacity_kb < lowest_kb;
             let rack = |s: &StreamerState| self.settings.rack_of(&s.entry);
-            let here = |o: &&StreamerState| o.entry.streamer == *at || (!link_full && rack(o) == rack(s));
+            let relieves = |other: &&StreamerState| {
+                other.entry.streamer == *id || (!link_full && rack(other) == rack(s))
+            };
             let steps = self
                 .streamers
                 .values()
-                .filter(here)
-                .flat_map(|o| self.possible_steps(o, false, MAKE_ROOM_WAIT_US));
+                .filter(relieves)
+                .flat_map(|other| self.possible_steps(other, false, MAKE_ROOM_WAIT_US));
             let mut steps: Vec<_> = steps.collect();
             steps.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.2.cmp(&b.2)));
-            let (mut freed, mut lost) = (0.0, 0.0);
+            let (mut freed_kb, mut lost_worth) = (0.0, 0.0);
             steps.retain(|(per_kb, kb, ..)| {
-                let more = freed < need;
-                (freed, lost) = if more { (freed + kb, lost + per_kb * kb) } else { (freed, lost) };
+                let more = freed_kb < needed_kb;
+                (freed_kb, lost_worth) =
+                    if more { (freed_kb + kb, lost_worth + per_kb * kb) } else { (freed_kb, lost_worth) };
                 more
             });
-            (freed >= need && lost < gain).then(|| (*at, steps.into_iter().map(|s| s.2).collect()))
+            (freed_kb >= needed_kb && lost_worth < max_loss)
+                .then(|| (*id, steps.into_iter().map(|s| s.2).collect()))
         })?;
-        down.into_iter().for_each(|other| self.change_rung(other, self.sessions[&other].rung - 1, out));
-        Some(at)
+        sessions.into_iter().for_each(|other| self.change_rung(other, self.sessions[&other].rung - 1, out));
+        Some(streamer)
     }
 
     fn cost(&self, session: &SessionState, s: &StreamerState) -> f64 {
         let rate = self.settings.rate_kb(session.request.class, session.rung);
         let rack = self.settings.rack_of(&s.entry);
-        let uplink = self.rack_load(rack) + self.racks.get(&rack).map_or(0.0, |g| rate / g.capacity_kb);
+        let uplink =
+            self.rack_load(rack) + self.racks.get(&rack).map_or(0.0, |uplink| rate / uplink.capacity_kb);
         let link = self.link_load(s) + rate / s.link.capacity_kb;
-        let away = if s.entry.zone == self.settings.my_zone { 0.0 } else { self.settings.cross_zone_price };
-        let again = if session.attempted.contains(&s.entry.streamer) { 1.0 } else { 0.0 };
+        let cross_zone =
+            if s.entry.zone == self.settings.my_zone { 0.0 } else { self.settings.cross_zone_price };
+        let repeated = if session.attempted.contains(&s.entry.streamer) { 1.0 } else { 0.0 };
         let tier = self.limits.tier_cost(&session.request, s.entry.streamer);
-        let fresh = if self.now < s.connected_until { 0.0 } else { self.settings.handshake_price };
-        link.max(uplink) + SUSPICION_COST * self.suspicion(s) + again + away + fresh + tier
+        let handshake = if self.now < s.connected_until { 0.0 } else { self.settings.handshake_price };
+        link.max(uplink) + SUSPICION_COST * self.suspicion(s) + repeated + cross_zone + handshake + tier
     }
 
     /// Asks the streamer about to be chosen for its load [D8], unless heard of just now; then the next best.
     fn probe_before_choice(&mut self, id: RequestId, at: StreamerId, out: &mut Actions) -> bool {
         let now = self.now;
-        let wanted = self.settings.probes && now >= self.ignore_reports_until && self.probe_credit >= 1.0;
+        let may_probe = self.settings.probes && now >= self.ignore_reports_until && self.probe_credit >= 1.0;
         let (s, session) = (self.streamers.get_mut(&at), self.sessions.get_mut(&id));
         let (Some(s), Some(session)) = (s, session) else { return false };
-        let heard = s.link.last_load.is_some_and(|x| x.0 + US_PER_S as Micros > now);
-        if !wanted
-            || heard
+        let reported = s.link.last_load.is_some_and(|last| last.0 + US_PER_S as Micros > now);
+        if !may_probe
+            || reported
             || session.probes_sent >= MAX_CHOICES
             || session.deadline < now + US_PER_S as Micros
         {
@@ -153,19 +162,21 @@
     /// Where nothing else tells load, asks after room to step up, longest unheard first.
     pub(super) fn probe_for_room(&mut self, out: &mut Actions) {
         let now = self.now;
-        let room = self.mean_loads.iter().all(|t| t.1 < MAX_LOAD_STEP_UP) && self.chance() < EXPLORE_CHANCE;
+        let room =
+            self.mean_loads.iter().all(|mean| mean.1 < MAX_LOAD_STEP_UP) && self.chance() < EXPLORE_CHANCE;
         while room
             && self.settings.probes
             && self.settings.reports == ReportMode::ProbeOnly
             && self.probe_credit >= 1.0
         {
-            let heard = |s: &StreamerState| s.link.last_load.map_or(0, |x| x.0).max(s.probed_at);
-            let old = |s: &StreamerState| !s.probe_in_flight && heard(s) + STEP_UP_WAIT_REPORTED_US < now;
-            let room = |s: &&StreamerState| {
-                old(s) && !self.possible_steps(s, true, STEP_UP_WAIT_REPORTED_US).is_empty()
+            let news_at = |s: &StreamerState| s.link.last_load.map_or(0, |last| last.0).max(s.probed_at);
+            let outdated =
+                |s: &StreamerState| !s.probe_in_flight && news_at(s) + STEP_UP_WAIT_REPORTED_US < now;
+            let worth_probing = |s: &&StreamerState| {
+                outdated(s) && !self.possible_steps(s, true, STEP_UP_WAIT_REPORTED_US).is_empty()
             };
-            let here = self.streamers.values().filter(room);
-            let Some(id) = here.min_by_key(|s| heard(s)).map(|s| s.entry.streamer) else { return };
+            let candidates = self.streamers.values().filter(worth_probing);
+            let Some(id) = candidates.min_by_key(|s| news_at(s)).map(|s| s.entry.streamer) else { return };
             self.probe_credit -= 1.0;
             self.streamers.entry(id).and_modify(|s| (s.probed_at, s.probe_in_flight) = (now, true));
             out.push(Action::Probe(id));
@@ -188,7 +199,7 @@
             }
             _ => {}
         }
-        self.resume_waiting(|asked| asked.0 == id, out);
+        self.resume_waiting(|awaited| awaited.0 == id, out);
     }
 
     /// The highest rung with room, but no more than the fair rate [D5]: what own sessions play at, as if this
@@ -197,30 +208,32 @@
         let request = &session.request;
         let load = self.rack_load(self.settings.rack_of(&s.entry)).max(self.link_load(s)).max(0.1);
         let mean_kb = (self.own_kb + self.slot_kb) / (self.own_sessions() + 1.0);
-        let worths: f64 = self.settings.classes.iter().map(|c| c.worth).sum();
-        let dear = self.settings.classes[request.class.0].worth * self.settings.classes.len() as f64 / worths;
-        let fair = START_RATE_FACTOR * dear * mean_kb * limit / load;
-        let floor = self.settings.classes[request.class.0].lowest_rung;
-        let most = self
+        let total_worth: f64 = self.settings.classes.iter().map(|c| c.worth).sum();
+        let relative_worth =
+            self.settings.classes[request.class.0].worth * self.settings.classes.len() as f64 / total_worth;
+        let fair_kb = START_RATE_FACTOR * relative_worth * mean_kb * limit / load;
+        let lowest = self.settings.classes[request.class.0].lowest_rung;
+        let max_kb = self
             .spare_kb(s, limit)
-            .min(fair)
+            .min(fair_kb)
             .min(self.limits.constraints(request, s.entry.streamer).max_rate_kb);
-        let fits = |r: &usize| self.settings.rate_kb(request.class, *r) <= most;
-        (floor..=self.settings.top_rung(request)).rev().find(fits).unwrap_or(floor)
+        let fits = |rung: &usize| self.settings.rate_kb(request.class, *rung) <= max_kb;
+        (lowest..=self.settings.top_rung(request)).rev().find(fits).unwrap_or(lowest)
     }
 
     /// Own playing sessions at a streamer that can go a rung up (or down).
-    fn possible_steps(&self, s: &StreamerState, up: bool, quiet: Micros) -> Vec<RungStep> {
+    fn possible_steps(&self, s: &StreamerState, up: bool, wait: Micros) -> Vec<RungStep> {
         let mut steps = Vec::new();
         for id in &s.sessions {
             let session = &self.sessions[id];
             let class = &self.settings.classes[session.request.class.0];
             let low = session.rung.saturating_sub(usize::from(!up));
-            let most = self.settings.top_rung(&session.request);
-            let terms = self.limits.constraints(&session.request, s.entry.streamer);
-            let free = self.settings.rate_kb(session.request.class, low + 1) <= terms.max_rate_kb;
-            let may = if up { low < most && free } else { session.rung > class.lowest_rung };
-            if may && session.playing && session.changed_at + quiet <= self.now {
+            let top = self.settings.top_rung(&session.request);
+            let constraints = self.limits.constraints(&session.request, s.entry.streamer);
+            let within_limits =
+                self.settings.rate_kb(session.request.class, low + 1) <= constraints.max_rate_kb;
+            let can_step = if up { low < top && within_limits } else { session.rung > class.lowest_rung };
+            if can_step && session.playing && session.changed_at + wait <= self.now {
                 let gap = |ladder: &[f64]| ladder[low + 1] - ladder[low];
                 let kb = (gap(&self.settings.ladder_kb) * class.scale).max(1e-9);
                 let worth = gap(&self.settings.ladder_worth) * class.worth * session.worth;
@@ -234,88 +247,104 @@
     /// the same: each takes its own part, once a report [D9]; none steps down by its own counts alone [D6].
     pub(super) fn adjust_rungs(&mut self, out: &mut Actions) {
         let now = self.now;
-        let part = |g: &LinkState, load: f64| (g.own_kb / (load * g.capacity_kb).max(1.0)).min(1.0);
-        let excess =
-            |g: &LinkState, load: f64| (load - STEP_DOWN_TARGET_LOAD) * g.capacity_kb * part(g, load);
-        let news = |g: &LinkState| g.last_load.is_none_or(|s| s.0 > g.last_step_at);
+        let own_part =
+            |link: &LinkState, load: f64| (link.own_kb / (load * link.capacity_kb).max(1.0)).min(1.0);
+        let own_excess_kb = |link: &LinkState, load: f64| {
+            (load - STEP_DOWN_TARGET_LOAD) * link.capacity_kb * own_part(link, load)
+        };
+        let reported_since_step =
+            |link: &LinkState| link.last_load.is_none_or(|last| last.0 > link.last_step_at);
         for id in self.streamers.keys().copied().collect::<Vec<_>>() {
             let (s, load) = (&self.streamers[&id], self.link_load(&self.streamers[&id]));
-            if s.link.own_sessions > 0 && load > MIN_LOAD_STEP_DOWN && s.link.is_fresh(now) && news(&s.link) {
-                self.step_rungs(false, self.settings.rack_of(&s.entry), Some(id), excess(&s.link, load), out);
+            if s.link.own_sessions > 0
+                && load > MIN_LOAD_STEP_DOWN
+                && s.link.is_fresh(now)
+                && reported_since_step(&s.link)
+            {
+                self.step_rungs(
+                    false,
+                    self.settings.rack_of(&s.entry),
+                    Some(id),
+                    own_excess_kb(&s.link, load),
+                    out,
+                );
             }
         }
-        let own: Vec<u32> =
-            self.racks.iter().filter(|(_, g)| g.own_sessions > 0 && news(g)).map(|r| *r.0).collect();
-        for rack in own {
-            let (g, load) = (&self.racks[&rack], self.rack_load(rack));
-            let raise = MAX_LOAD_STEP_UP / (1.0 + self.load_uncertainty(g)); // who sees too little by chance must not step up
-            if load > MIN_LOAD_STEP_DOWN && g.is_fresh(now) {
-                self.step_rungs(false, rack, None, excess(g, load), out);
-            } else if load < raise {
-                // Who had to ask has the news alone, but for those who ask before its own step shows.
-                let asks = self.settings.probes && self.settings.reports == ReportMode::ProbeOnly;
-                let part = part(g, load).max(if asks {
-                    0.5_f64.min(CONTROLLERS_PER_PROBE * part(g, load))
+        // Who had to ask has the news alone, but for those who ask before its own step shows.
+        let due = |uplink: &LinkState| uplink.own_sessions > 0 && reported_since_step(uplink);
+        let racks: Vec<u32> = self.racks.iter().filter(|(_, uplink)| due(uplink)).map(|r| *r.0).collect();
+        for rack in racks {
+            let (uplink, load) = (&self.racks[&rack], self.rack_load(rack));
+            let target = MAX_LOAD_STEP_UP / (1.0 + self.load_uncertainty(uplink));
+            if load > MIN_LOAD_STEP_DOWN && uplink.is_fresh(now) {
+                self.step_rungs(false, rack, None, own_excess_kb(uplink, load), out);
+            } else if load < target {
+                let probes = self.settings.probes && self.settings.reports == ReportMode::ProbeOnly;
+                let part = own_part(uplink, load).max(if probes {
+                    0.5_f64.min(CONTROLLERS_PER_PROBE * own_part(uplink, load))
                 } else {
                     0.0
                 });
-                self.step_rungs(true, rack, None, (raise - load) * g.capacity_kb * part, out);
+                self.step_rungs(true, rack, None, (target - load) * uplink.capacity_kb * part, out);
             }
         }
     }
 
     /// Steps own sessions of a rack, or a streamer, a rung up (down) for about `kb`, best worth for it first.
     fn step_rungs(&mut self, up: bool, rack: u32, only: Option<StreamerId>, mut kb: f64, out: &mut Actions) {
-        let (now, gauge) = (self.now, &self.racks[&rack]);
+        let (now, uplink) = (self.now, &self.racks[&rack]);
         let mut steps = Vec::new();
         let here = |s: &&StreamerState| self.settings.rack_of(&s.entry) == rack && !s.sessions.is_empty();
         for s in self.streamers.values().filter(here).filter(|s| only.is_none_or(|o| o == s.entry.streamer)) {
             // [D3] The design waits 30 s; a fresh report of room on both shortens the wait.
-            let reported = gauge.is_fresh(now) && s.link.is_fresh(now);
-            let quiet =
+            let reported = uplink.is_fresh(now) && s.link.is_fresh(now);
+            let wait =
                 if !up { 0 } else { [STEP_UP_WAIT_US, STEP_UP_WAIT_REPORTED_US][usize::from(reported)] };
-            if !gauge.short_within(now, quiet) && !s.link.short_within(now, quiet) {
-                steps.extend(self.possible_steps(s, up, quiet));
+            if !uplink.short_within(now, wait) && !s.link.short_within(now, wait) {
+                steps.extend(self.possible_steps(s, up, wait));
             }
         }
-        let order = |gain: f64| if up { -gain } else { gain };
+        let order = |worth_per_kb: f64| if up { -worth_per_kb } else { worth_per_kb };
         steps.sort_by(|a, b| order(a.0).total_cmp(&order(b.0)).then(a.2.cmp(&b.2)));
         let any = !steps.is_empty();
-        for (_, step, id, at) in steps {
-            let s = &self.streamers[&at];
-            let fits = !up || step <= (MAX_LOAD_STEP_UP - self.link_load(s)) * s.link.capacity_kb;
-            if fits && kb > 0.0 && (kb >= step || self.chance() * step < kb) {
+        for (_, step_kb, id, streamer) in steps {
+            let s = &self.streamers[&streamer];
+            let fits = !up || step_kb <= (MAX_LOAD_STEP_UP - self.link_load(s)) * s.link.capacity_kb;
+            if fits && kb > 0.0 && (kb >= step_kb || self.chance() * step_kb < kb) {
                 let rung = self.sessions[&id].rung;
                 self.change_rung(id, if up { rung + 1 } else { rung - 1 }, out);
             }
-            kb -= step;
+            kb -= step_kb;
         }
         let link = only.and_then(|id| self.streamers.get_mut(&id)).map(|s| &mut s.link);
-        link.or(self.racks.get_mut(&rack)).filter(|_| any).into_iter().for_each(|g| g.last_step_at = now);
+        link.or(self.racks.get_mut(&rack))
+            .filter(|_| any)
+            .into_iter()
+            .for_each(|link| link.last_step_at = now);
     }
 
     /// Sets a rung; the only place that does. Rule 5: never under the floor, never over the viewer's best.
     pub(super) fn change_rung(&mut self, id: RequestId, rung: usize, out: &mut Actions) {
         let Some(session) = self.sessions.get(&id) else { return };
         let class = &self.settings.classes[session.request.class.0];
-        let within = class.lowest_rung..=self.settings.top_rung(&session.request);
-        let fits = within.contains(&rung) && rung != session.rung && self.limits.may_act_on(id);
-        if fits && (session.playing || session.streamer.is_none()) {
+        let allowed = class.lowest_rung..=self.settings.top_rung(&session.request);
+        let valid = allowed.contains(&rung) && rung != session.rung && self.limits.may_act_on(id);
+        if valid && (session.playing || session.streamer.is_none()) {
             self.record_rung(id, rung, false);
             out.push(Action::Rate { request: id, rung });
         }
     }
 
-    pub(super) fn record_rung(&mut self, id: RequestId, rung: usize, told: bool) {
+    pub(super) fn record_rung(&mut self, id: RequestId, rung: usize, reported: bool) {
         let now = self.now;
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let before = std::mem::replace(&mut session.rung, rung.min(self.settings.ladder_kb.len() - 1));
-        session.changed_at = if told { session.changed_at } else { now };
-        let (class, after, at) = (session.request.class, session.rung, session.streamer);
+        session.changed_at = if reported { session.changed_at } else { now };
+        let (class, after, streamer) = (session.request.class, session.rung, session.streamer);
         self.limits.rung_changed(id, after);
-        if let Some(at) = at {
+        if let Some(streamer) = streamer {
             self.record_rate_change(
-                at,
+                streamer,
                 self.settings.rate_kb(class, after) - self.settings.rate_kb(class, before),
                 0,
             );
--- a/crates/core/src/rules/pools.rs
+++ b/crates/core/src/rules/pools.rs
@@ -33,8 +33,8 @@
 fn split_by_weight(weights: &[f64], slots: usize) -> Vec<usize> {
     let total: f64 = weights.iter().sum::<f64>().max(f64::MIN_POSITIVE);
     let mut split: Vec<usize> = weights.iter().map(|w| (slots as f64 * w / total) as usize).collect();
-    let (given, classes) = (split.iter().sum::<usize>(), split.len());
-    (given..slots).for_each(|i| split[i % classes] += 1);
+    let (assigned, classes) = (split.iter().sum::<usize>(), split.len());
+    (assigned..slots).for_each(|i| split[i % classes] += 1);
     split
 }
 
@@ -47,25 +47,29 @@
             *links.entry(self.settings.rack_of(&s.entry)).or_default() += s.link.capacity_kb;
             streams += self.settings.streams_of(&s.entry);
         }
-        let kb: f64 =
-            links.iter().map(|(r, kb)| kb.min(self.racks.get(r).map_or(*kb, |g| g.capacity_kb))).sum();
         // The split is the whole fleet's; a fraction of a slot is one with that chance, so none is lost.
+        let kb: f64 = links
+            .iter()
+            .map(|(rack, kb)| kb.min(self.racks.get(rack).map_or(*kb, |uplink| uplink.capacity_kb)))
+            .sum();
         let slots = (kb * SLOT_LINK_SHARE / self.slot_kb / self.best_rung_slots())
             .min(streams)
             .clamp(0.0, 1e5) as usize;
-        let arrivals: f64 = self.class_counts.iter().map(|m| m.arrivals).sum();
-        let n = f64::from(self.settings.controllers);
+        let arrivals: f64 = self.class_counts.iter().map(|counts| counts.arrivals).sum();
+        let controllers = f64::from(self.settings.controllers);
         let split = if arrivals < MIN_ARRIVALS_FOR_SPLIT {
-            let earns = |(c, m): (&Class, &ClassCounts)| c.worth * (m.arrivals + 1.0);
+            let weight = |(class, counts): (&Class, &ClassCounts)| class.worth * (counts.arrivals + 1.0);
             split_by_weight(
-                &self.settings.classes.iter().zip(&self.class_counts).map(earns).collect::<Vec<_>>(),
+                &self.settings.classes.iter().zip(&self.class_counts).map(weight).collect::<Vec<_>>(),
                 slots,
             )
         } else {
-            let fleet = |c: usize| (self.offered_load(c).0 * n, self.offered_load(c).1);
-            split_slots(&(0..self.class_counts.len()).map(fleet).collect::<Vec<_>>(), slots)
+            let fleet_load =
+                |class: usize| (self.offered_load(class).0 * controllers, self.offered_load(class).1);
+            split_slots(&(0..self.class_counts.len()).map(fleet_load).collect::<Vec<_>>(), slots)
         };
-        let part: Vec<_> = split.iter().map(|slots| (*slots as f64 / n + self.chance()) as usize).collect();
+        let part: Vec<_> =
+            split.iter().map(|slots| (*slots as f64 / controllers + self.chance()) as usize).collect();
         let (old, pools) = (std::mem::replace(&mut self.pools, part), &self.pools);
         if old != *pools {
             out.push(Action::Log(format!("split re-chosen: {pools:?}, part of {slots} slots (was {old:?})")));
@@ -74,19 +78,19 @@
 
     /// Offered load of a class in slots, and worth of a slot a second.
     fn offered_load(&self, class: usize) -> (f64, f64) {
-        let (c, m) = (&self.settings.classes[class], &self.class_counts[class]);
-        let ended: f64 = self.class_counts.iter().map(|m| m.ended).sum();
-        let watched: f64 = self.class_counts.iter().map(|m| m.watched_s).sum();
-        let usual_s = (watched + 30.0) / (ended + 1.0); // one end in half a minute until ends are counted
-        let mean_s = (m.watched_s + 3.0 * usual_s) / (m.ended + 3.0);
-        (m.arrivals / self.counted_s.max(1.0) * mean_s * c.scale, c.worth / c.scale)
+        let (settings, counts) = (&self.settings.classes[class], &self.class_counts[class]);
+        let ended: f64 = self.class_counts.iter().map(|counts| counts.ended).sum();
+        let watched: f64 = self.class_counts.iter().map(|counts| counts.watched_s).sum();
+        let overall_s = (watched + 30.0) / (ended + 1.0);
+        let mean_s = (counts.watched_s + 3.0 * overall_s) / (counts.ended + 3.0);
+        (counts.arrivals / self.counted_s.max(1.0) * mean_s * settings.scale, settings.worth / settings.scale)
     }
 
     /// Part of a middle-rung slot that a session takes at the rung which earns most for its rate [D1].
     fn best_rung_slots(&self) -> f64 {
-        let per_kb = |r: &usize| self.settings.ladder_worth[*r] / self.settings.ladder_kb[*r];
+        let per_kb = |rung: &usize| self.settings.ladder_worth[*rung] / self.settings.ladder_kb[*rung];
         let best = (0..self.settings.ladder_kb.len()).max_by(|a, b| per_kb(a).total_cmp(&per_kb(b)));
-        best.map_or(1.0, |r| (self.settings.ladder_kb[r] / self.slot_kb).min(1.0))
+        best.map_or(1.0, |rung| (self.settings.ladder_kb[rung] / self.slot_kb).min(1.0))
     }
 
     /// Whether the session's own pool takes one more; else it borrows another's idle slot.
