--- a/crates/core/src/rules/health.rs
+++ b/crates/core/src/rules/health.rs
@@ -1,13 +1,15 @@
-//! Health (one suspicion for all evidence, who is cold) and the guards of the six rules, each in one place.
+//! Health of streamers (one suspicion value for all evidence, and whether a streamer is cold), the attempts
+//! of a request, and the checks of the numbered rules, each in one place.
 use super::*;
 
 impl Controller {
+    /// A streamer's suspicion now, after its decay.
     pub(super) fn suspicion(&self, s: &StreamerState) -> f64 {
         let age = self.now.saturating_sub(s.suspicion_at) as f64 / US_PER_S;
         s.suspicion * (-age / SUSPICION_HALF_LIFE_S * std::f64::consts::LN_2).exp()
     }
 
-    /// Streamers in the list, and those of them that get no set-ups now, but for trials.
+    /// Number of listed streamers, and of those that get no set-ups now except trials.
     pub fn streamer_counts(&self) -> (usize, usize) {
         let listed = || self.streamers.values().filter(|s| s.entry.standing != Standing::Gone);
         let avoided =
@@ -15,7 +17,8 @@
         (listed().count(), listed().filter(avoided).count())
     }
 
-    /// Adds evidence against a streamer (for it, below zero): one measure for all signs of trouble.
+    /// Adds evidence against a streamer, or for it where `evidence` is negative. All kinds of failure count
+    /// in one measure.
     pub(super) fn add_evidence(&mut self, id: StreamerId, evidence: f64, why: &str, out: &mut Actions) {
         let Some(s) = self.streamers.get(&id) else { return };
         let before = self.suspicion(s);
@@ -36,38 +39,43 @@
         };
     }
 
-    /// After a restart, told or inferred, its pace is limited until it is warm. An own restart adds nothing:
-    /// the list tells starts to all, and directors that took all for cold starved those who came back.
+    /// Whether a streamer's set-ups are paced because it restarted (as listed or inferred) and is not warm
+    /// yet. A restart of the controller itself makes no streamer cold: the list gives start times to every
+    /// director, and restarted directors that took all streamers for cold refused the viewers who came back.
     fn is_cold(&self, s: &StreamerState) -> bool {
         s.cold_since.is_some_and(|since| self.now < since.saturating_add(self.settings.warm_up_us))
     }
 
-    /// The turn of the common clock at a streamer, and whether it is this controller's. Each is for as many
-    /// controllers as the pace allows; COLD_PACE leaves room for the one turn more that any second touches.
+    /// The number of the current turn at a streamer, by the common clock, and whether it is this
+    /// controller's. Each turn is for as many controllers as the pace permits. [`COLD_PACE_SHARE`] leaves
+    /// room for the one additional turn that any second can overlap.
     pub(super) fn current_turn(&self, entry: &Entry) -> (u64, bool) {
         let capacity =
             self.settings.fall_multiple * self.settings.streams_of(entry) * self.settings.cold_from;
         let pace = COLD_PACE_SHARE * capacity / (self.settings.warm_up_us as f64 / US_PER_S).max(1e-3);
         let group = (pace * MAX_COLD_TURN_S).max(1.0) as u64;
-        // Neighbouring cells have their turns in turn, lest all holders of a title be another's at once.
+        // Turns of neighbouring cells are offset, so that one controller always has some holder of a title.
         let turn = (self.now as f64 / US_PER_S * pace / group as f64) as u64 + u64::from(entry.cell);
         let groups = u64::from(self.settings.controllers).div_ceil(group);
         (turn, turn % groups == u64::from(self.settings.me) / group)
     }
 
-    /// Whether a cold streamer may have a set-up now: in an own turn that is not used yet.
+    /// The current turn, if this controller may use it for a set-up at a cold streamer: the turn is its own
+    /// and not used yet.
     fn unused_cold_turn(&self, s: &StreamerState) -> Option<u64> {
         let (turn, mine) = self.current_turn(&s.entry);
         (mine && s.last_cold_turn != Some(turn)).then_some(turn)
     }
 
-    /// Whether a request can try a barred streamer (load tests clear none) and still go elsewhere in time.
+    /// Whether a request can try a barred streamer and still go elsewhere in time. (A successful load probe
+    /// does not clear the suspicion.)
     pub(super) fn can_try_barred(&self, id: RequestId) -> bool {
         let Some(session) = self.sessions.get(&id) else { return false };
         let class = &self.settings.classes[session.request.class.0];
         session.attempted.is_empty() && self.now + class.target_us <= session.deadline
     }
 
+    /// Handles a successful set-up.
     pub(super) fn set_up_done(&mut self, id: RequestId, at: StreamerId) {
         self.add_evidence(at, -1.0, "", &mut Vec::new());
         let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -78,6 +86,7 @@
         }
     }
 
+    /// Handles the end of an attempt or a session.
     pub(super) fn attempt_ended(
         &mut self,
         id: RequestId,
@@ -86,8 +95,8 @@
         last: bool,
         out: &mut Actions,
     ) {
-        // [D10] An error on a title that never stood says as much of the title.
         let (evidence, why) = match outcome {
+            // [D10] Where no session of the title has started yet, the error may as well be the title's.
             Outcome::Failed if self.sessions.get(&id).is_some_and(|s| !s.playing && self.is_proven(s)) => {
                 (1.5, "set-up failed")
             }
@@ -100,7 +109,7 @@
         self.add_evidence(at, evidence, why, out);
         let now = self.now;
         match self.streamers.get_mut(&at) {
-            // It may come back cold before discovery says so.
+            // The streamer may have restarted, and be cold, before discovery says so.
             Some(s) if matches!(outcome, Outcome::Reset | Outcome::ConnectError) => s.cold_since = Some(now),
             Some(s) if outcome == Outcome::QueueFull && self.settings.full_from > 0.0 => {
                 s.link.observe(
@@ -124,12 +133,14 @@
         }
     }
 
+    /// Handles a client that left: a request without an attempt in flight is dropped, any other needs no
+    /// answer.
     pub(super) fn client_gone(&mut self, id: RequestId) {
         self.sessions.retain(|other, s| *other != id || s.streamer.is_some());
         self.sessions.entry(id).and_modify(|s| s.answered = true);
     }
 
-    /// A further attempt where every rule allows one, else the final answer at once.
+    /// Starts a further attempt where every rule permits one; otherwise gives the final answer at once.
     pub(super) fn attempt_again(&mut self, id: RequestId, out: &mut Actions) {
         let Some(session) = self.sessions.get(&id) else { return };
         let class = &self.settings.classes[session.request.class.0];
@@ -149,7 +160,7 @@
         }
     }
 
-    /// Rule 6: attempts past the first stay within the ration, where one is stated.
+    /// Rule 6: retries stay within the retry budget, where one is configured.
     fn budget_allows(&mut self) -> bool {
         let Some(budget) = self.settings.attempt_budget else { return true };
         let (attempts_since, requests_since) = budget.window_starts(self.now);
@@ -159,7 +170,8 @@
             <= budget.base_attempts + budget.per_request * self.request_times.len() as f64
     }
 
-    /// Rules 2 to 5: it holds the title, is up, not rushed while cold, a repeat does no harm, a seat is free.
+    /// Rules 2 to 5: the streamer holds the title and is up, its pace is kept while it is cold, a repeated
+    /// set-up does no harm, and a seat is free.
     pub(super) fn may_send(&self, id: RequestId, at: StreamerId) -> bool {
         let Some(session) = self.sessions.get(&id) else { return false };
         let Some(s) = self.streamers.get(&at) else { return false };
@@ -178,7 +190,7 @@
                     && self.streamers.get(&first).is_some_and(recognised)
             }
         };
-        // A barred streamer is tried now and then, by a session that can be set up again without harm.
+        // A barred streamer gets a trial from time to time: a session that can be set up again without harm.
         let trial =
             class.effect == Effect::Idempotent && self.now >= s.next_trial_at && self.is_proven(session);
         let trusted = self.suspicion(s) < BARRED_SUSPICION || (trial && self.can_try_barred(id));
@@ -190,7 +202,8 @@
             && (!self.is_cold(s) || self.unused_cold_turn(s).is_some())
     }
 
-    /// Sends the request; the only place that does. Its time-out stays within the viewer's own time.
+    /// Sends the request to a streamer; the only place that does. The time-out of the attempt stays within
+    /// the time that the viewer still waits.
     pub(super) fn send(&mut self, id: RequestId, at: StreamerId, rung: usize, out: &mut Actions) {
         if !self.may_send(id, at) {
             return self.answer(id, out);
@@ -205,8 +218,8 @@
             (turn.or(s.last_cold_turn), s.next_trial_at.max(now + TRIAL_INTERVAL_US));
         s.connected_until = now + self.settings.keep_us;
         let class = &self.settings.classes[session.request.class.0];
-        // One that can be sent again gets its answer in time for a second attempt within the usual bound.
         let left_us = session.deadline.saturating_sub(now);
+        // An attempt that may be repeated times out early enough for a second one within the class's target.
         let repeatable = class.effect != Effect::AtMostOnce
             && session.attempted.len() + 1 < self.settings.max_attempts as usize;
         let try_for_us = if repeatable { left_us.min(class.target_us / 2) } else { left_us }.max(1);
@@ -217,7 +230,8 @@
         out.push(Action::Send { request: id, streamer: at, try_for_us });
     }
 
-    /// The only place with a final answer. Rules 1 and 2: where a paid attempt may have run it is no refusal.
+    /// Gives the final answer; the only place that does. Rules 1 and 2: where an attempt with effects may
+    /// have run, the answer is a failure and not a refusal.
     pub(super) fn answer(&mut self, id: RequestId, out: &mut Actions) {
         let Some(session) = self.sessions.get(&id).filter(|s| s.streamer.is_none() && !s.answered) else {
             return;
--- a/crates/core/src/rules/load.rs
+++ b/crates/core/src/rules/load.rs
@@ -1,14 +1,15 @@
-//! What is asked of links and uplinks: reports, notes, own changes since.
+//! Load of links and uplinks: from reports, delivery notes and the controller's own changes since.
 use super::*;
 
 impl LinkState {
-    /// Books an own set-up, end or change of rung.
+    /// Records a change of own rate: a set-up, an end or a change of rung.
     pub(super) fn add_change(&mut self, now: Micros, kb: f64) {
         self.own_kb = (self.own_kb + kb).max(0.0);
         self.own_changes.add(now, kb, 2 * REPORT_FRESH_US);
     }
 
-    /// Takes a report or note of how things stood at `at`, by the part of it that is believed.
+    /// Corrects the load by an observation as of `at`. `gain` is the part of the difference from the expected
+    /// load that is adopted.
     pub(super) fn observe(&mut self, at: Micros, ratio: f64, gain: f64) {
         if self.last_load.is_some_and(|last| last.0 > at) {
             return;
@@ -23,24 +24,27 @@
         self.last_load = Some((at, ratio));
     }
 
-    /// What is asked over what is given. As a report ages, `usual` takes its place.
+    /// The requested rate over the capacity. As a report ages, `expected` takes its place.
     fn load(&self, now: Micros, expected: f64) -> f64 {
         let Some((at, ratio)) = self.last_load else { return expected };
         let trust = (-(now.saturating_sub(at) as f64) / (REPORT_TRUST_S * US_PER_S)).exp();
         trust * (ratio + self.own_changes.since(at) / self.capacity_kb).max(0.0) + (1.0 - trust) * expected
     }
 
+    /// Whether the last observation is recent.
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
         self.last_load.is_some_and(|last| last.0 + REPORT_FRESH_US > now)
     }
 
+    /// Whether delivery was reported short within `span`.
     pub(super) fn short_within(&self, now: Micros, span: Micros) -> bool {
         self.short_delivery_at.is_some_and(|at| at + span > now)
     }
 }
 
 impl Controller {
-    /// Use without a fresh report [D4]: own use, the others' mean, more where own ones are over the expected.
+    /// Load of a link (`which` = 0) or an uplink (1) without a fresh report [D4]: the own load, plus the mean
+    /// load of the other controllers, scaled up where there are more own sessions here than expected.
     fn expected_load(&self, link: &LinkState, which: usize) -> f64 {
         let (reported, controllers) = (self.mean_loads[which], f64::from(self.settings.controllers));
         let all_kb = [self.settings.fleet_kb, self.settings.rack_kb * self.racks.len() as f64];
@@ -52,11 +56,12 @@
         mean * skew * (1.0 - 1.0 / controllers) + link.own_kb / link.capacity_kb
     }
 
+    /// Number of this controller's sessions and set-ups in flight.
     pub(super) fn own_sessions(&self) -> f64 {
         self.class_sessions.iter().sum::<usize>() as f64
     }
 
-    /// Takes what was told of a link (0) or its uplink (1), if not absurd.
+    /// Records a reported load of a streamer's link (`which` = 0) or uplink (1); absurd values are ignored.
     pub(super) fn observe_load(&mut self, id: StreamerId, which: usize, at: Micros, ratio: f64) {
         let Some(s) = self.streamers.get_mut(&id).filter(|_| (0.0..=50.0).contains(&ratio)) else { return };
         let uplink = self.racks.get_mut(&self.settings.rack_of(&s.entry));
@@ -67,15 +72,17 @@
         *mean += (ratio.min(3.0) - *mean) / *count;
     }
 
+    /// Load of a streamer's link now.
     pub(super) fn link_load(&self, s: &StreamerState) -> f64 {
         s.link.load(self.now, self.expected_load(&s.link, 0))
     }
 
+    /// Load of a rack's uplink now.
     pub(super) fn rack_load(&self, rack: u32) -> f64 {
         self.racks.get(&rack).map_or(0.0, |uplink| uplink.load(self.now, self.expected_load(uplink, 1)))
     }
 
-    /// Whether a streamer is short alone: an uplink shorts all its streamers alike.
+    /// Whether a streamer alone delivers short: an overloaded uplink affects all its streamers alike.
     fn is_short_alone(&self, id: StreamerId, rack: u32) -> bool {
         let here = |s: &&StreamerState| self.settings.rack_of(&s.entry) == rack && s.entry.streamer != id;
         let others = self.streamers.values().filter(here).filter(|s| !s.sessions.is_empty());
@@ -84,15 +91,17 @@
         whole.len() > short.len().max(1)
     }
 
-    /// Spread of a use that is but a guess by own sessions: no load is asked for, and nothing was heard.
+    /// Relative uncertainty of a load that is only estimated from own sessions, because no load is probed for
+    /// and none was reported. Zero where load is known.
     pub(super) fn load_uncertainty(&self, link: &LinkState) -> f64 {
         let known =
             self.settings.reports != ReportMode::ProbeOnly || self.settings.probes || link.is_fresh(self.now);
         if known { 0.0 } else { self.own_sessions().max(1.0).sqrt().recip() }
     }
 
-    /// Room for one more, kB a second, at a streamer: the lesser of link's and uplink's up to `limit`.
+    /// Spare rate at a streamer, kB a second, up to a load of `limit`: the lesser of its link's and uplink's.
     pub(super) fn spare_kb(&self, s: &StreamerState, limit: f64) -> f64 {
+        // An estimate alone must not cause refusals.
         let limit = |link: &LinkState| limit * (1.0 + self.load_uncertainty(link));
         let rack = self.settings.rack_of(&s.entry);
         let uplink_kb = self
@@ -102,7 +111,7 @@
         ((limit(&s.link) - self.link_load(s)) * s.link.capacity_kb).min(uplink_kb)
     }
 
-    /// Takes a load report that came along with an answer or a probe.
+    /// Records a load report that came with an answer or a probe result.
     pub(super) fn take_report(&mut self, id: StreamerId, report: LoadReport) {
         let at = self.now.saturating_sub(ASSUMED_REPORT_AGE_US);
         if self.now < self.ignore_reports_until {
@@ -114,6 +123,7 @@
         report.uplink.into_iter().for_each(|x| self.observe_load(id, 1, at, x));
     }
 
+    /// Handles a note on a session: its rung, the load of links, or the share of its rate that was delivered.
     pub(super) fn take_note(
         &mut self,
         of: RequestId,
@@ -145,7 +155,8 @@
                 self.add_evidence(id, 1.0, "delivers next to nothing", out);
             }
         } else if value >= 0.98 {
-            // Delivery is whole again: an account above 1 was wrong or is over, and others changed it, too.
+            // Delivery is full again: a load above 1 was wrong or has passed, by other controllers' changes
+            // too.
             let overloaded = [&mut s.link, uplink]
                 .into_iter()
                 .filter(|link| link.last_load.is_some_and(|last| last.1 > 1.0));
--- a/crates/core/src/rules/mod.rs
+++ b/crates/core/src/rules/mod.rs
@@ -1,5 +1,6 @@
-//! All decisions of stonewharf, in the terms of `src/interface.rs`. docs/design.md tells what comes from Chen
-//! & Verma's paper and what departs from it; marks such as [D3] refer to the list there.
+//! The decision module: admission, placement and rungs, on the types of `src/interface.rs`. docs/design.md
+//! lists what comes from Chen & Verma's paper and what departs from it; marks such as [D3] refer to that
+//! list.
 mod constants;
 mod health;
 mod load;
@@ -15,7 +16,8 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a controller counts of a class: arrivals of first tries, ends, time watched (ends over time is μ).
+/// Decaying counts of a class: arrivals (first tries only), ended sessions and watched seconds. Ends over
+/// watched time is the departure rate μ.
 #[derive(Default)]
 struct ClassCounts {
     arrivals: f64,
@@ -23,27 +25,31 @@
     watched_s: f64,
 }
 
-/// The account of one link or uplink: the last report or note, and own changes since.
+/// Load of one link or uplink: the last report or note, and this controller's own changes since.
 #[derive(Default)]
 struct LinkState {
     capacity_kb: f64,
+    /// Rate and number of this controller's own sessions here.
     own_kb: f64,
     own_sessions: usize,
+    /// When the load was last reported, and the load.
     last_load: Option<(Micros, f64)>,
     own_changes: ChangeWindow,
     short_delivery_at: Option<Micros>,
     last_step_at: Micros,
 }
 
-/// What is known of a streamer.
+/// What the controller knows about a streamer.
 #[derive(Default)]
 struct StreamerState {
     entry: Entry,
     link: LinkState,
+    /// Suspicion as of `suspicion_at`; it decays from then on.
     suspicion: f64,
     suspicion_at: Micros,
     next_trial_at: Micros,
     cold_since: Option<Micros>,
+    /// The last turn that this controller used, or may have used, while the streamer was cold.
     last_cold_turn: Option<u64>,
     probe_in_flight: bool,
     connected_until: Micros,
@@ -51,59 +57,76 @@
     sessions: BTreeSet<RequestId>,
 }
 
+/// A possible change of a session's rung by one: worth per kB, the rate difference in kB a second, the
+/// request and its streamer.
 type RungStep = (f64, f64, RequestId, StreamerId);
 type Actions = Vec<Action>;
 
-/// A request taken and not yet ended, or a session.
+/// A request that has not ended yet, or a session.
 #[derive(Default)]
 struct SessionState {
     request: Request,
     deadline: Micros,
+    /// Where the attempt in flight, or the session, is.
     streamer: Option<StreamerId>,
     attempted: Vec<StreamerId>,
+    /// The first attempt that may have run although it failed: where, and when it was sent.
     may_have_run: Option<(StreamerId, Micros)>,
     playing: bool,
     answered: bool,
     rung: usize,
     changed_at: Micros,
     worth: f64,
+    /// The probe that the request waits for: the streamer, and when the wait began.
     awaited_probe: Option<(StreamerId, Micros)>,
     probes_sent: usize,
 }
 
-/// The decisions of one controller. Feed it events in order; it answers with actions.
+/// The decisions of one controller: takes events in order and returns actions.
 #[derive(Default)]
 pub struct Controller {
     pub(crate) limits: LimitSet,
     settings: Settings,
     rng: Option<ChaCha8Rng>,
     now: Micros,
+    /// Reports that arrive earlier may predate sessions that were handed over.
     ignore_reports_until: Micros,
     sweeping: bool,
     discovery_asked_at: Option<Micros>,
     swept_at: Micros,
     split_chosen_at: Micros,
     streamers: BTreeMap<StreamerId, StreamerState>,
+    /// Uplinks by rack.
     racks: BTreeMap<u32, LinkState>,
     sessions: BTreeMap<RequestId, SessionState>,
+    /// Sessions and set-ups in flight, by title and class.
     title_seats: BTreeMap<(TitleId, ClassId), usize>,
+    /// The same by class.
     class_sessions: Vec<usize>,
     class_counts: Vec<ClassCounts>,
+    /// Seconds over which the class counts were taken, decayed as they are.
     counted_s: f64,
+    /// This controller's slots for each class.
     pools: Vec<usize>,
+    /// When a viewer was last counted, and the worth of its request.
     known_viewers: BTreeMap<ViewerId, (Micros, f64)>,
+    /// Titles of which a session has started here, and when.
     proven_titles: BTreeMap<TitleId, Micros>,
     tenant_arrivals: Vec<f64>,
+    /// Probes that may still be sent.
     probe_credit: f64,
+    /// When requests were accepted and retries sent, for the retry budget.
     request_times: VecDeque<Micros>,
     retry_times: VecDeque<Micros>,
+    /// Rate of one slot: the geometric mean of the lowest and the highest rung.
     slot_kb: f64,
     own_kb: f64,
+    /// Number of reports and mean load, of links (index 0) and of uplinks (index 1).
     mean_loads: [(f64, f64); 2],
 }
 
 impl Controller {
-    /// A controller at its start. The seed feeds its own random numbers; nothing else is random.
+    /// Creates a controller. The seed feeds its random number generator; nothing else is random.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let (classes, ladder) = (settings.classes.len(), &settings.ladder_kb);
@@ -129,12 +152,12 @@
         })
     }
 
-    /// A number from 0 to 1 by this controller's own dice.
+    /// A random number from 0 to 1 from the controller's own generator.
     fn chance(&mut self) -> f64 {
         self.rng.as_mut().map_or(0.5, |rng| f64::from(rng.next_u32()) / f64::from(u32::MAX))
     }
 
-    /// Takes one event at its time and adds what is to be done.
+    /// Handles one event at its time and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.limits.observe_event(self.now, &event, out);
@@ -160,16 +183,17 @@
         }
     }
 
-    /// Takes discovery's news: new places, drains, restarts.
+    /// Applies a streamer list from discovery: new streamers, drains, restarts.
     fn apply_list(&mut self, scope: ListScope, entries: Vec<Entry>, out: &mut Actions) {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
+            // Streamers that the list does not name are gone.
             self.streamers.values_mut().for_each(|s| s.entry.standing = Standing::Gone);
         }
         for entry in entries {
             let capacity_kb =
                 (entry.weight * self.settings.weight_kb).clamp(1.0, self.settings.fleet_kb.max(1.0));
             self.racks.entry(self.settings.rack_of(&entry)).or_default().capacity_kb = self.settings.rack_kb;
-            // Whoever had this controller's place before it may have used the turn that is open.
+            // The process that had this controller's number before may have used the current turn already.
             let last_cold_turn = Some(self.current_turn(&entry).0);
             let streamer = self.streamers.entry(entry.streamer).or_insert_with(|| StreamerState {
                 entry: entry.clone(),
@@ -178,13 +202,14 @@
                 last_cold_turn,
                 ..StreamerState::default()
             });
-            // A restart: what was held against it is void.
             if entry.started_at > streamer.entry.started_at {
+                // A restart clears the suspicion and the last load.
                 (streamer.cold_since, streamer.suspicion, streamer.link.last_load) =
                     (entry.started_at, 0.0, None);
             }
             streamer.entry = entry;
         }
+        // After a failed call the next sweep asks again.
         self.discovery_asked_at = self.discovery_asked_at.filter(|_| scope != ListScope::Failed);
         if !std::mem::replace(&mut self.sweeping, true) {
             self.sweep(out);
@@ -192,7 +217,8 @@
         }
     }
 
-    /// Moves a session's rate, seat and slot to a streamer, or away.
+    /// Assigns a session to a streamer, or removes it from its streamer (`None`), with its rate, seat and
+    /// slot.
     fn assign_streamer(&mut self, id: RequestId, to: Option<StreamerId>) {
         let Some(session) = self.sessions.get(&id) else { return };
         let (class, seat) = (session.request.class, (session.request.title, session.request.class));
@@ -212,7 +238,7 @@
         session.streamer = to;
     }
 
-    /// Books an own change of rate, and of the number of sessions, at a streamer's link and uplink.
+    /// Records a change of own rate and of the number of own sessions at a streamer's link and uplink.
     fn record_rate_change(&mut self, at: StreamerId, kb: f64, sessions: isize) {
         let Some(s) = self.streamers.get_mut(&at) else { return };
         let uplink = self.racks.get_mut(&self.settings.rack_of(&s.entry));
@@ -223,6 +249,7 @@
         }
     }
 
+    /// The periodic work: counts, rungs, waiting requests, probes and the pool split.
     fn sweep(&mut self, out: &mut Actions) {
         out.push(Action::Timer { after_us: SWEEP_INTERVAL_US, tag: SWEEP_TIMER });
         let now = self.now;
@@ -238,6 +265,7 @@
             out.push(Action::Subscribe);
         }
         self.adjust_rungs(out);
+        // A lost probe must not hold a request up.
         self.resume_waiting(|awaited| awaited.1 + 2 * SWEEP_INTERVAL_US <= now, out);
         self.probe_for_room(out);
         if now >= self.split_chosen_at + SPLIT_INTERVAL_US {
--- a/crates/core/src/rules/placement.rs
+++ b/crates/core/src/rules/placement.rs
@@ -1,13 +1,16 @@
-//! Admission (own pool, else borrow with room, else refuse at once), which streamer, whom to ask, which rung.
+//! Admission and placement. A request takes a slot of its class's own pool, else borrows an idle slot while
+//! links have room, else is refused at once. Also chooses the streamer, the probes and the rungs.
 use super::*;
 
 impl Controller {
+    /// Admits a request and starts its first attempt, or refuses it.
     pub(super) fn admit(&mut self, request: Request, out: &mut Actions) {
         let (id, class) = (request.id, request.class);
         let proven = self.proven_titles.contains_key(&request.title);
         let unproven = || self.sessions.values().filter(|s| !s.answered && !self.is_proven(s)).count();
         if request.beside >= MAX_OPEN_PER_CONNECTION || (!proven && unproven() >= MAX_OPEN_UNPROVEN) {
             self.sessions.insert(id, SessionState { request, ..SessionState::default() });
+            // Too many open requests on one connection, or for titles that are not known to exist.
             return self.answer(id, out);
         }
         self.request_times.extend(self.settings.attempt_budget.map(|_| self.now));
@@ -23,7 +26,9 @@
         self.attempt(id, out);
     }
 
+    /// Takes over a playing session.
     pub(super) fn adopt_session(&mut self, request: Request, streamer: StreamerId) {
+        // Earlier reports may be of links that were still empty.
         self.ignore_reports_until = self.now + MAX_REPORT_AGE_US;
         self.probe_credit += PROBES_PER_SESSION;
         let (id, rung) = (request.id, self.settings.classes[request.class.0].lowest_rung);
@@ -41,13 +46,15 @@
         self.assign_streamer(id, Some(streamer));
     }
 
-    /// Finds a streamer and a rung for the request and sends it there, or gives the final answer at once.
+    /// Chooses a streamer and a rung for the request and sends it there, waits for a probe, or gives the
+    /// final answer at once.
     pub(super) fn attempt(&mut self, id: RequestId, out: &mut Actions) {
         let Some(session) = self.sessions.get(&id) else { return };
         let class = session.request.class;
         let limit = if self.has_own_slot(session) { MAX_LOAD_OWN_POOL } else { MAX_LOAD_BORROWED };
         let holders = self.streamers.values().filter(|s| self.settings.holds(&session.request, &s.entry));
         let holders: Vec<_> = holders.map(|s| s.entry.streamer).collect();
+        // Of very many holders only a part is ranked, a random one each time.
         let step = holders.len().div_ceil(MAX_CANDIDATES).max(1);
         let skip = if step > 1 { (self.chance() * step as f64) as usize } else { 0 };
         let eligible = holders.into_iter().skip(skip).step_by(step).filter(|s| self.may_send(id, *s));
@@ -72,7 +79,8 @@
         self.send(id, s, rung, out);
     }
 
-    /// [D11] Makes room at the lowest rung by stepping own sessions down where that earns more than it loses.
+    /// [D11] Makes room for the request at its lowest rung by stepping own sessions down, where the request
+    /// earns more than the steps lose. Returns the streamer that now has room.
     fn make_room(
         &mut self,
         id: RequestId,
@@ -85,10 +93,10 @@
         let lowest_kb = self.settings.rate_kb(session.request.class, class.lowest_rung);
         let max_loss =
             self.settings.ladder_worth[class.lowest_rung] * class.worth * session.worth * MAX_LOSS_SHARE;
-        // What a link lacks is freed on it, what an uplink lacks anywhere on it.
         let (streamer, sessions): (_, Vec<_>) = ranked.iter().take(MAX_CHOICES).find_map(|(_, id)| {
             let s = &self.streamers[id];
             let needed_kb = lowest_kb - self.spare_kb(s, limit);
+            // A full link is relieved by its own sessions, a full uplink by any session of the rack.
             let link_full = (limit - self.link_load(s)) * s.link.capacity_kb < lowest_kb;
             let rack = |s: &StreamerState| self.settings.rack_of(&s.entry);
             let relieves = |other: &&StreamerState| {
@@ -115,6 +123,7 @@
         Some(streamer)
     }
 
+    /// Cost of placing a session at a streamer: the load that results, plus suspicion, prices and tier.
     fn cost(&self, session: &SessionState, s: &StreamerState) -> f64 {
         let rate = self.settings.rate_kb(session.request.class, session.rung);
         let rack = self.settings.rack_of(&s.entry);
@@ -129,7 +138,9 @@
         link.max(uplink) + SUSPICION_COST * self.suspicion(s) + repeated + cross_zone + handshake + tier
     }
 
-    /// Asks the streamer about to be chosen for its load [D8], unless heard of just now; then the next best.
+    /// Probes the streamer that is about to be chosen for its load [D8], unless that was reported within the
+    /// last second. After the probe the next best one may follow. Returns whether the request waits for a
+    /// probe.
     fn probe_before_choice(&mut self, id: RequestId, at: StreamerId, out: &mut Actions) -> bool {
         let now = self.now;
         let may_probe = self.settings.probes && now >= self.ignore_reports_until && self.probe_credit >= 1.0;
@@ -151,6 +162,7 @@
         true
     }
 
+    /// Goes on with the requests whose awaited probe is `due`.
     pub(super) fn resume_waiting(&mut self, due: impl Fn(&(StreamerId, Micros)) -> bool, out: &mut Actions) {
         let waits = |s: &SessionState| {
             s.streamer.is_none() && !s.answered && s.awaited_probe.as_ref().is_some_and(&due)
@@ -159,7 +171,8 @@
         ids.into_iter().for_each(|id| self.attempt_again(id, out));
     }
 
-    /// Where nothing else tells load, asks after room to step up, longest unheard first.
+    /// Where only probes report load, probes streamers whose sessions could be stepped up, those without news
+    /// for the longest time first.
     pub(super) fn probe_for_room(&mut self, out: &mut Actions) {
         let now = self.now;
         let room =
@@ -183,6 +196,7 @@
         }
     }
 
+    /// Handles the result of a probe.
     pub(super) fn probe_ended(
         &mut self,
         id: StreamerId,
@@ -202,8 +216,9 @@
         self.resume_waiting(|awaited| awaited.0 == id, out);
     }
 
-    /// The highest rung with room, but no more than the fair rate [D5]: what own sessions play at, as if this
-    /// link were just full, in proportion to the class's worth (worth grows about with a rate's logarithm).
+    /// The highest rung for which there is room, but at most the fair rate [D5]: the mean rate of own
+    /// sessions, scaled to a link that is just full and in proportion to the class's worth. (Worth grows
+    /// roughly with the logarithm of the rate.)
     fn start_rung(&self, session: &SessionState, s: &StreamerState, limit: f64) -> usize {
         let request = &session.request;
         let load = self.rack_load(self.settings.rack_of(&s.entry)).max(self.link_load(s)).max(0.1);
@@ -221,7 +236,8 @@
         (lowest..=self.settings.top_rung(request)).rev().find(fits).unwrap_or(lowest)
     }
 
-    /// Own playing sessions at a streamer that can go a rung up (or down).
+    /// Possible steps, a rung up or down, of the playing sessions at a streamer whose rung has not changed
+    /// for `wait`.
     fn possible_steps(&self, s: &StreamerState, up: bool, wait: Micros) -> Vec<RungStep> {
         let mut steps = Vec::new();
         for id in &s.sessions {
@@ -243,8 +259,9 @@
         steps
     }
 
-    /// The rung rule: down where a link or uplink is short, up where there has been room for a while. All see
-    /// the same: each takes its own part, once a report [D9]; none steps down by its own counts alone [D6].
+    /// Steps sessions down where a link or uplink is overloaded, and up where there has been room for a
+    /// while. All controllers see the same load, so each corrects its own part of it, once for each report
+    /// [D9]. None steps down by its own estimate alone [D6].
     pub(super) fn adjust_rungs(&mut self, out: &mut Actions) {
         let now = self.now;
         let own_part =
@@ -270,15 +287,17 @@
                 );
             }
         }
-        // Who had to ask has the news alone, but for those who ask before its own step shows.
         let due = |uplink: &LinkState| uplink.own_sessions > 0 && reported_since_step(uplink);
         let racks: Vec<u32> = self.racks.iter().filter(|(_, uplink)| due(uplink)).map(|r| *r.0).collect();
         for rack in racks {
             let (uplink, load) = (&self.racks[&rack], self.rack_load(rack));
+            // A controller that sees too little load by chance must not step up.
             let target = MAX_LOAD_STEP_UP / (1.0 + self.load_uncertainty(uplink));
             if load > MIN_LOAD_STEP_DOWN && uplink.is_fresh(now) {
                 self.step_rungs(false, rack, None, own_excess_kb(uplink, load), out);
             } else if load < target {
+                // After a probe only this controller knows of the room, except those that probe before its
+                // own step shows in the load.
                 let probes = self.settings.probes && self.settings.reports == ReportMode::ProbeOnly;
                 let part = own_part(uplink, load).max(if probes {
                     0.5_f64.min(CONTROLLERS_PER_PROBE * own_part(uplink, load))
@@ -290,13 +309,14 @@
         }
     }
 
-    /// Steps own sessions of a rack, or a streamer, a rung up (down) for about `kb`, best worth for it first.
+    /// Steps own sessions of a rack, or of the streamer `only`, a rung up or down until about `kb` are used
+    /// or freed. The steps with the best worth for their rate come first.
     fn step_rungs(&mut self, up: bool, rack: u32, only: Option<StreamerId>, mut kb: f64, out: &mut Actions) {
         let (now, uplink) = (self.now, &self.racks[&rack]);
         let mut steps = Vec::new();
         let here = |s: &&StreamerState| self.settings.rack_of(&s.entry) == rack && !s.sessions.is_empty();
         for s in self.streamers.values().filter(here).filter(|s| only.is_none_or(|o| o == s.entry.streamer)) {
-            // [D3] The design waits 30 s; a fresh report of room on both shortens the wait.
+            // [D3] The design waits 30 s. A fresh report for both link and uplink shortens the wait.
             let reported = uplink.is_fresh(now) && s.link.is_fresh(now);
             let wait =
                 if !up { 0 } else { [STEP_UP_WAIT_US, STEP_UP_WAIT_REPORTED_US][usize::from(reported)] };
@@ -323,7 +343,8 @@
             .for_each(|link| link.last_step_at = now);
     }
 
-    /// Sets a rung; the only place that does. Rule 5: never under the floor, never over the viewer's best.
+    /// Sets a session's rung; the only place that does. Rule 5: never below the class's lowest rung, never
+    /// above the viewer's best one.
     pub(super) fn change_rung(&mut self, id: RequestId, rung: usize, out: &mut Actions) {
         let Some(session) = self.sessions.get(&id) else { return };
         let class = &self.settings.classes[session.request.class.0];
@@ -335,6 +356,7 @@
         }
     }
 
+    /// Records the rung of a session and its rate. `reported` tells that the streamer changed it by itself.
     pub(super) fn record_rung(&mut self, id: RequestId, rung: usize, reported: bool) {
         let now = self.now;
         let Some(session) = self.sessions.get_mut(&id) else { return };
