--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -6,7 +6,7 @@
 use crate::interface::*;
 
 /// Cost of a tier further in placement: more than all else there together.
-const TIER: f64 = 1e3;
+const TIER_COST: f64 = 1e3;
 
 /// What holds for a set-up of one request to one streamer at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,7 +28,7 @@
 /// Limits of a subsystem. All times are the controller's, in microseconds, and never go back.
 pub trait PlacementLimits {
     /// Told of each event before the module acts on it. Lines for on-call staff go to `news`.
-    fn observe_event(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String));
+    fn observe_event(&mut self, now: Micros, event: &Event, log: &mut dyn FnMut(String));
 
     /// Told of each set-up as it is sent, and the rung that it starts at. Each ends by one [`Event::Ended`].
     fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize);
@@ -47,7 +47,13 @@
 
     /// How long the viewer of a refused request is told to stay away: `most` is the longest that clients
     /// follow, `chance` the controller's own dice, 0 to 1. `None` leaves it to the module.
-    fn hold_off(&self, _now: Micros, _request: &Request, _most: Micros, _chance: f64) -> Option<Micros> {
+    fn hold_off(
+        &self,
+        _now: Micros,
+        _request: &Request,
+        _max_hold_off: Micros,
+        _chance: f64,
+    ) -> Option<Micros> {
         None
     }
 }
@@ -67,37 +73,37 @@
 #[derive(Default)]
 pub(crate) struct LimitSet {
     now: Micros,
-    limits: Vec<Box<dyn PlacementLimits>>,
+    members: Vec<Box<dyn PlacementLimits>>,
 }
 
 impl LimitSet {
     pub(crate) fn add(&mut self, limits: Box<dyn PlacementLimits>) {
-        self.limits.push(limits);
+        self.members.push(limits);
     }
 
     pub(crate) fn observe_event(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = now;
-        for limits in &mut self.limits {
+        for limits in &mut self.members {
             limits.observe_event(now, event, &mut |line| out.push(Action::Log(line)));
         }
     }
 
     pub(crate) fn attempt_sent(&mut self, request: &Request, streamer: StreamerId, rung: usize) {
         let now = self.now;
-        self.limits.iter_mut().for_each(|limits| limits.attempt_sent(now, request, streamer, rung));
+        self.members.iter_mut().for_each(|limits| limits.attempt_sent(now, request, streamer, rung));
     }
 
     pub(crate) fn rung_changed(&mut self, request: RequestId, rung: usize) {
-        self.limits.iter_mut().for_each(|limits| limits.rung_changed(request, rung));
+        self.members.iter_mut().for_each(|limits| limits.rung_changed(request, rung));
     }
 
     pub(crate) fn constraints(&self, request: &Request, streamer: StreamerId) -> Constraints {
-        let all = self.limits.iter().map(|limits| limits.constraints(self.now, request, streamer));
+        let all = self.members.iter().map(|limits| limits.constraints(self.now, request, streamer));
         all.fold(Constraints::NONE, Constraints::and)
     }
 
     pub(crate) fn may_act_on(&self, request: RequestId) -> bool {
-        self.limits.iter().all(|limits| limits.may_act_on(self.now, request))
+        self.members.iter().all(|limits| limits.may_act_on(self.now, request))
     }
 
     pub(crate) fn allowed(&self, request: &Request, streamer: StreamerId) -> bool {
@@ -105,13 +111,15 @@
     }
 
     pub(crate) fn tier_cost(&self, request: &Request, streamer: StreamerId) -> f64 {
-        TIER * f64::from(self.constraints(request, streamer).tier)
+        TIER_COST * f64::from(self.constraints(request, streamer).tier)
     }
 
-    pub(crate) fn hold_off(&self, request: &Request, most: Micros, chance: f64) -> Micros {
-        // Spread hints, so that those turned away together do not come back together.
-        let usual = (most as f64 * (0.25 + 0.5 * chance)) as Micros;
-        let told = self.limits.iter().filter_map(|l| l.hold_off(self.now, request, most, chance)).max();
-        told.map_or(usual, |told| told.min(most))
+    // Spread hints, so that those turned away together do not come back together.
+    pub(crate) fn hold_off(&self, request: &Request, max_hold_off: Micros, chance: f64) -> Micros {
+        let default = (max_hold_off as f64 * (0.25 + 0.5 * chance)) as Micros;
+        let members = self.members.iter();
+        let longest =
+            members.filter_map(|limits| limits.hold_off(self.now, request, max_hold_off, chance)).max();
+        longest.map_or(default, |hold_off| hold_off.min(max_hold_off))
     }
 }
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -41,25 +41,25 @@
     use super::*;
 
     #[test]
-    fn sums_are_those_of_a_plain_walk() {
-        let (mut window, mut plain) = (ChangeWindow::default(), VecDeque::new());
-        let mut x = 7u64;
+    fn sums_equal_those_of_a_linear_scan() {
+        let (mut window, mut reference) = (ChangeWindow::default(), VecDeque::new());
+        let mut random = 7u64;
         for i in 0..2_000u64 {
-            x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let (now, change) = (1 + i * 10 + x % 7, f64::from((x >> 40) as u32 % 2_000) - 1_000.0);
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            let (now, change) = (1 + i * 10 + random % 7, f64::from((random >> 40) as u32 % 2_000) - 1_000.0);
             window.add(now, change, 1_000);
-            plain.push_back((now, change));
-            plain.retain(|p: &(u64, f64)| p.0 + 1_000 >= now);
-            for at in [0, now.saturating_sub(x % 1_500), now - 1, now] {
-                let walked: f64 = plain.iter().filter(|p| p.0 > at).map(|p| p.1).sum();
-                assert!((window.since(at) - walked).abs() < 1e-6, "since {at} at {now}");
+            reference.push_back((now, change));
+            reference.retain(|p: &(u64, f64)| p.0 + 1_000 >= now);
+            for at in [0, now.saturating_sub(random % 1_500), now - 1, now] {
+                let expected: f64 = reference.iter().filter(|p| p.0 > at).map(|p| p.1).sum();
+                assert!((window.since(at) - expected).abs() < 1e-6, "since {at} at {now}");
             }
         }
         assert!(window.totals.len() < 110, "bounded");
     }
 
     #[test]
-    fn nothing_is_no_change() {
+    fn an_empty_window_sums_to_zero() {
         assert_eq!(ChangeWindow::default().since(5), 0.0);
     }
 }
