--- a/crates/core/src/limited.rs
+++ b/crates/core/src/limited.rs
@@ -1,10 +1,10 @@
-//! Sets a subsystem's limits behind the decision module. Stands apart from both, so that the seam knows
-//! nothing of the module and the module only of the seam.
+//! Adds placement limits to a controller. In a file of its own, so that the interface does not depend on the
+//! decision module, and the module only on the interface.
 use crate::limits::PlacementLimits;
 use crate::rules::Controller;
 
 impl Controller {
-    /// This controller with limits set on its choice, beside those that are set, from its start on.
+    /// Adds limits on the controller's choices to those already set. To be called before the first event.
     pub fn with_limits(mut self, limits: Box<dyn PlacementLimits>) -> Self {
         self.limits.add(limits);
         self
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,52 +1,53 @@
-//! The seam by which a subsystem's limits reach the decision module. A subsystem is told what the module is
-//! told and what it sends; asked about a set-up, it states terms: the streamer's tier, whether it is open,
-//! and how high the session may start. The module asks and decides: terms can only narrow its choice, never
-//! widen it, so no rule that the module keeps can be broken from here. Never does I/O and never answers a
-//! request.
+//! The interface through which a subsystem limits the choices of the decision module. A subsystem observes
+//! the module's events and the attempts that it sends. For a possible set-up it returns constraints: the tier
+//! of the streamer, whether the set-up is allowed, and the highest rate. The module decides; constraints can
+//! only narrow its choice, so a subsystem cannot break a rule that the module keeps. Implementations do no
+//! I/O and never answer a request.
 use crate::interface::*;
 
-/// Cost of a tier further in placement: more than all else there together.
+/// Placement cost of one tier: more than all other costs together.
 const TIER_COST: f64 = 1e3;
 
-/// What holds for a set-up of one request to one streamer at one moment.
+/// Constraints on a set-up of one request at one streamer at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Constraints {
-    /// Preference, 0 first. A tier is left only where the one before has no room for the request.
+    /// Preference; 0 comes first. A tier is used only where the one before has no room for the request.
     pub tier: u32,
-    /// Whether the set-up may go there now.
+    /// Whether the set-up may be sent there now.
     pub allowed: bool,
-    /// The rate at which the session may start, or be stepped up to, kB a second; the class's lowest rung is
-    /// always allowed.
+    /// Highest rate, in kB a second, at which the session may start or to which it may be stepped up. The
+    /// class's lowest rung is always allowed.
     pub max_rate_kb: f64,
 }
 
 impl Constraints {
-    /// No limit at all.
+    /// No constraint.
     pub const NONE: Constraints = Constraints { tier: 0, allowed: true, max_rate_kb: f64::INFINITY };
 }
 
-/// Limits of a subsystem. All times are the controller's, in microseconds, and never go back.
+/// A subsystem that limits placement. All times are the controller's, in microseconds, and never go back.
 pub trait PlacementLimits {
-    /// Told of each event before the module acts on it. Lines for on-call staff go to `news`.
+    /// Called with each event before the module acts on it. Lines for on-call staff go to `log`.
     fn observe_event(&mut self, now: Micros, event: &Event, log: &mut dyn FnMut(String));
 
-    /// Told of each set-up as it is sent, and the rung that it starts at. Each ends by one [`Event::Ended`].
+    /// Called for each set-up when it is sent, with the rung at which it starts. Each ends with one
+    /// [`Event::Ended`].
     fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize);
 
-    /// Told of each change of rung of a session that is out or plays.
+    /// Called for each change of rung of a session that is being set up or plays.
     fn rung_changed(&mut self, _request: RequestId, _rung: usize) {}
 
-    /// The terms for a set-up of `request` to `streamer` now. Asked for each streamer that could be chosen:
-    /// its cost must not grow with their number.
+    /// The constraints on a set-up of `request` at `streamer` now. Called for each streamer that could be
+    /// chosen, so its cost must not grow with the number of streamers.
     fn constraints(&self, now: Micros, request: &Request, streamer: StreamerId) -> Constraints;
 
-    /// Whether this director may act on a session by its own will now; false where another one may.
+    /// Whether this director may act on a session on its own initiative now; false where another one may.
     fn may_act_on(&self, _now: Micros, _request: RequestId) -> bool {
         true
     }
 
-    /// How long the viewer of a refused request is told to stay away: `most` is the longest that clients
-    /// follow, `chance` the controller's own dice, 0 to 1. `None` leaves it to the module.
+    /// The hold-off that is sent to the viewer of a refused request. `max_hold_off` is the longest that
+    /// clients follow, `chance` a random number from 0 to 1. `None` leaves the choice to the module.
     fn hold_off(
         &self,
         _now: Micros,
@@ -59,7 +60,7 @@
 }
 
 impl Constraints {
-    /// Both: the greater tier, open where both are, the lesser rate.
+    /// Combines two constraints: the higher tier, allowed only if both allow it, the lower rate.
     fn and(self, other: Constraints) -> Constraints {
         Constraints {
             tier: self.tier.max(other.tier),
@@ -69,7 +70,7 @@
     }
 }
 
-/// Where the module keeps the limits that are set; without any, all terms are free.
+/// All limits that are set on a controller; without any, nothing is constrained.
 #[derive(Default)]
 pub(crate) struct LimitSet {
     now: Micros,
@@ -114,8 +115,8 @@
         TIER_COST * f64::from(self.constraints(request, streamer).tier)
     }
 
-    // Spread hints, so that those turned away together do not come back together.
     pub(crate) fn hold_off(&self, request: &Request, max_hold_off: Micros, chance: f64) -> Micros {
+        // Hold-offs are spread, so that viewers who are refused together do not come back together.
         let default = (max_hold_off as f64 * (0.25 + 0.5 * chance)) as Micros;
         let members = self.members.iter();
         let longest =
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -1,17 +1,17 @@
-//! A sum over the changes since a moment, over a bounded span of time. A data structure, no decisions.
+//! Sums of changes of a quantity since a given time, within a bounded time span.
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// Changes of a quantity as running totals, so that a look-up takes a binary search and not a walk over all
-/// changes of the span: at a thousand requests a second there are thousands.
+/// Changes of a quantity, kept as running totals. A look-up takes a binary search instead of a walk over all
+/// changes of the span: at a thousand requests a second there are thousands of them.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeWindow {
-    /// When, and the total from then on. The first stands for all before it.
+    /// Time of a change, and the total from then on. The first entry stands for everything before it.
     totals: VecDeque<(Micros, f64)>,
 }
 
 impl ChangeWindow {
-    /// Books a change at a time not before the last one's, and forgets what is older than `span`.
+    /// Adds a change and drops those older than `span`. `now` must not be before the last change.
     pub(crate) fn add(&mut self, now: Micros, change: f64, span: Micros) {
         let total = self.totals.back().map_or(0.0, |t| t.1) + change;
         if self.totals.is_empty() {
@@ -23,14 +23,14 @@
         }
     }
 
-    /// The sum of all changes kept that came after a moment.
+    /// The sum of the kept changes after `at`.
     pub(crate) fn since(&self, at: Micros) -> f64 {
         let Some((_, total)) = self.totals.back() else { return 0.0 };
         let before = self.totals.partition_point(|t| t.0 <= at).max(1);
         total - self.totals[before - 1].1
     }
 
-    /// The sum of all changes kept that came after one moment and not after another.
+    /// The sum of the kept changes after `after`, up to and including `until`.
     pub(crate) fn between(&self, after: Micros, until: Micros) -> f64 {
         self.since(after) - self.since(until)
     }
