--- a/crates/core/src/rules/mod.rs
+++ b/crates/core/src/rules/mod.rs
@@ -1,7 +1,6 @@
 //! The decision module: admission, placement and rungs, on the types of `src/interface.rs`. docs/design.md
 //! lists what comes from Chen & Verma's paper and what departs from it; marks such as [D3] refer to that
 //! list.
-mod constants;
 mod health;
 mod load;
 mod placement;
@@ -10,12 +9,117 @@
 use crate::interface::*;
 use crate::limits::LimitSet;
 use crate::window::ChangeWindow;
-use constants::*;
 pub use pools::{erlang_payoff, split_slots};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+// Constants of the decisions. A load is the requested rate over the capacity of a link or uplink.
+const US_PER_S: f64 = 1e6;
+
+/// Timer of the periodic sweep, and the time between two sweeps: well under the delay of delivery notes.
+const SWEEP_TIMER: TimerTag = TimerTag(1);
+const SWEEP_INTERVAL_US: Micros = 250_000;
+
+/// Time between two choices of the pool split (the design's default).
+const SPLIT_INTERVAL_US: Micros = 10_000_000;
+/// Part of the class counts kept at each choice of the split: about a minute of memory.
+const COUNT_DECAY: f64 = 0.85;
+/// With fewer counted arrivals the split goes by class weights instead of the counts.
+const MIN_ARRIVALS_FOR_SPLIT: f64 = 6.0;
+/// Part of a link that slots may fill. The rest absorbs the spread of the titles' rates.
+const SLOT_LINK_SHARE: f64 = 0.9;
+
+/// Highest load of a link or uplink at which a session is set up in its own pool.
+const MAX_LOAD_OWN_POOL: f64 = 0.90;
+/// The same for a borrowed slot: some room is kept for the classes that own it.
+const MAX_LOAD_BORROWED: f64 = 0.86;
+/// Highest load up to which playing sessions are stepped up.
+const MAX_LOAD_STEP_UP: f64 = 0.82;
+/// Load above which sessions are stepped down: a step costs more than a short overload.
+const MIN_LOAD_STEP_DOWN: f64 = 1.0;
+/// Load that stepping down aims at.
+const STEP_DOWN_TARGET_LOAD: f64 = 0.95;
+/// Highest start rate of a session over its fair rate: above 1 because rungs are coarse.
+const START_RATE_FACTOR: f64 = 1.15;
+/// Time without short delivery before a step up (the design's default).
+const STEP_UP_WAIT_US: Micros = 30_000_000;
+/// The same where a fresh report shows room [D3].
+const STEP_UP_WAIT_REPORTED_US: Micros = 7_000_000;
+
+/// Age up to which a report counts as fresh.
+const REPORT_FRESH_US: Micros = 5_000_000;
+/// Time constant with which a report loses its weight, since sessions come and go.
+const REPORT_TRUST_S: f64 = 12.0;
+/// Part of a report's difference from the estimate that is adopted: reports are noisy.
+const REPORT_GAIN: f64 = 0.3;
+/// The same for a delivery note.
+const DELIVERY_GAIN: f64 = 0.8;
+/// How long a note of short delivery holds: such notes come once a second.
+const SHORT_DELIVERY_HOLD_US: Micros = 2_000_000;
+/// Delivered share below which a streamer counts as stalled: a lower share says nothing about its load.
+const STALLED_DELIVERY: f64 = 0.3;
+/// Number of reports over which the mean load of links, or of uplinks, is taken.
+const MAX_MEAN_REPORTS: f64 = 10.0;
+/// Assumed age of a report that comes with an answer.
+const ASSUMED_REPORT_AGE_US: Micros = 300_000;
+/// Highest age of such a report: streamers refresh it only from time to time, and it arrives late.
+const MAX_REPORT_AGE_US: Micros = 600_000;
+/// Number of own sessions on a link that tell as much about other controllers' load there as the mean does.
+const SKEW_PRIOR_SESSIONS: f64 = 4.0;
+
+/// Half-life of a streamer's suspicion.
+const SUSPICION_HALF_LIFE_S: f64 = 10.0;
+/// Suspicion from which a streamer is barred: it gets only trial set-ups.
+const BARRED_SUSPICION: f64 = 1.0;
+/// Highest suspicion: it takes one and a half half-lives to fall below the bar.
+const MAX_SUSPICION: f64 = 3.0;
+/// Part of the suspicion that remains after a successful set-up.
+const SUCCESS_SUSPICION_FACTOR: f64 = 0.4;
+/// Time between two trials of a barred streamer.
+const TRIAL_INTERVAL_US: Micros = 2_000_000;
+/// Placement cost of suspicion 1, as a link load.
+const SUSPICION_COST: f64 = 0.5;
+
+/// Part of a cold streamer's permitted pace that is used. The rest allows for chance and delay.
+const COLD_PACE_SHARE: f64 = 0.7;
+/// Longest turn at a cold streamer, where its pace permits several set-ups in one turn.
+const MAX_COLD_TURN_S: f64 = 0.4;
+
+/// Probes that each session earns: for its set-up and for steps up.
+const PROBES_PER_SESSION: f64 = 1.5;
+/// Highest gain from a probe, as a part of a session's worth: probes at this price or above never pay.
+const MAX_PROBE_PRICE: f64 = 0.04;
+/// Highest number of streamers that are ranked for one request.
+const MAX_CANDIDATES: usize = 64;
+/// Highest number of streamers that one request probes, or tries to make room on (power of two choices).
+const MAX_CHOICES: usize = 2;
+/// Chance of probing for room in a sweep: controllers must not all probe at once.
+const EXPLORE_CHANCE: f64 = 0.1;
+/// Number of controllers for each one that probes before another's step up shows in the load.
+const CONTROLLERS_PER_PROBE: f64 = 10.0;
+
+/// Time constant over which a tenant's arrivals are compared with its quota.
+const TENANT_WINDOW_S: f64 = 15.0;
+/// Weight, in arrivals, of the prior assumption that a tenant keeps to its share.
+const TENANT_PRIOR_ARRIVALS: f64 = 3.0;
+/// With less time than this left for the viewer a further attempt is not worthwhile.
+const MIN_RETRY_TIME_US: Micros = 30_000;
+/// Random cost, as a link load, that separates equal streamers: controllers must not all pick the same one.
+const PLACEMENT_JITTER: f64 = 0.06;
+/// Open requests of one connection from which further ones are refused at once.
+const MAX_OPEN_PER_CONNECTION: usize = 256;
+/// Highest number of open requests for titles of which no session has started yet.
+const MAX_OPEN_UNPROVEN: usize = 16;
+/// Highest number of attempts of such a request once one of them may have run.
+const MAX_UNPROVEN_ATTEMPTS: usize = 2;
+/// How long a title is known to exist after a session of it started.
+const TITLE_MEMORY_US: Micros = 600_000_000;
+/// Time within which a session is not stepped down again to make room for a new one.
+const MAKE_ROOM_WAIT_US: Micros = 3_000_000;
+/// Part of a new session's worth that may be lost by stepping others down for it.
+const MAX_LOSS_SHARE: f64 = 0.9;
+
 /// Decaying counts of a class: arrivals (first tries only), ended sessions and watched seconds. Ends over
 /// watched time is the departure rate μ.
 #[derive(Default)]
