--- a/tests/payoff.rs
+++ b/tests/payoff.rs
@@ -2,8 +2,8 @@
 use stonewharf::{erlang_payoff, split_slots};
 
 #[test]
-fn payoff_by_hand() {
-    // a = 2, n = 2: P(n) = (4/2) / (1 + 2 + 2) = 0.4, carried 1.2.
+// a = 2, n = 2: P(n) = (4/2) / (1 + 2 + 2) = 0.4, carried 1.2.
+fn payoff_equals_values_calculated_by_hand() {
     assert!((erlang_payoff(2.0, 2, 3.0, 0.0) - 3.6).abs() < 1e-12);
     assert!((erlang_payoff(2.0, 2, 3.0, 0.5) - 3.4).abs() < 1e-12);
     // a = 1, n = 1: half is lost. No slots: all is lost.
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn large_pools_stay_finite() {
+fn payoff_of_a_large_pool_is_finite() {
     let payoff = erlang_payoff(90_000.0, 100_000, 1.0, 0.0);
     assert!(payoff.is_finite() && (payoff - 90_000.0).abs() < 1.0);
 }
 
 #[test]
-fn split_equals_exhaustive_search() {
+fn split_is_as_good_as_an_exhaustive_search() {
     for (loads, slots) in [
         (vec![(3.0, 1.0), (1.5, 2.0), (4.0, 0.7)], 8),
         (vec![(0.2, 5.0), (9.0, 1.0), (2.0, 2.5)], 11),
@@ -26,15 +26,15 @@
     ] {
         let split = split_slots(&loads, slots);
         assert_eq!(split.iter().sum::<usize>(), slots);
-        let value = |s: &[usize]| -> f64 {
-            loads.iter().zip(s).map(|(&(a, w), &n)| erlang_payoff(a, n, w, 0.0)).sum()
+        let payoff = |split: &[usize]| -> f64 {
+            loads.iter().zip(split).map(|(&(offered, worth), &n)| erlang_payoff(offered, n, worth, 0.0)).sum()
         };
         let mut best = 0.0f64;
         for i in 0..=slots {
             for j in 0..=slots - i {
-                best = best.max(value(&[i, j, slots - i - j]));
+                best = best.max(payoff(&[i, j, slots - i - j]));
             }
         }
-        assert!((value(&split) - best).abs() < 1e-9, "{split:?}: {} < {best}", value(&split));
+        assert!((payoff(&split) - best).abs() < 1e-9, "{split:?}: {} < {best}", payoff(&split));
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,154 +4,154 @@
 use stonewharf::*;
 
 #[test]
-fn a_request_is_sent_and_a_failed_one_answered_once() {
-    let mut b = Bench::new(settings(idempotent()));
-    let mut at = sent(&b.ask(request(1, 0))).expect("sent");
+fn a_request_is_retried_and_gets_one_final_answer() {
+    let mut bench = Bench::new(settings(idempotent()));
+    let mut at = sent(&bench.ask(request(1, 0))).expect("sent");
     for _ in 0..3 {
-        at = sent(&b.end(1, at, Outcome::QueueFull, false)).expect("sent again elsewhere");
+        at = sent(&bench.end(1, at, Outcome::QueueFull, false)).expect("sent again elsewhere");
     }
-    let out = b.end(1, at, Outcome::QueueFull, false);
-    assert!(sent(&out).is_none() && refused(&out), "attempts are used up: refused at once, with a hint");
-    assert!(b.end(1, at, Outcome::QueueFull, false).is_empty(), "nothing after the final answer");
+    let out = bench.end(1, at, Outcome::QueueFull, false);
+    assert!(sent(&out).is_none() && refused(&out), "all attempts are used: refused at once, with a hold-off");
+    assert!(bench.end(1, at, Outcome::QueueFull, false).is_empty(), "nothing after the final answer");
 }
 
 #[test]
-fn a_further_attempt_goes_elsewhere_and_stays_within_left_us() {
-    let mut b = Bench::new(settings(idempotent()));
+fn a_retry_uses_another_streamer_and_stays_within_the_deadline() {
+    let mut bench = Bench::new(settings(idempotent()));
     let mut r = request(1, 0);
     r.left_us = 100_000;
-    let out = b.ask(r);
+    let out = bench.ask(r);
     let first = sent(&out).expect("sent");
     assert!(out.iter().any(|a| matches!(a, Action::Send { try_for_us, .. } if *try_for_us <= 100_000)));
-    b.now += 50_000;
-    let out = b.end(1, first, Outcome::ConnectError, false);
+    bench.now += 50_000;
+    let out = bench.end(1, first, Outcome::ConnectError, false);
     assert_ne!(sent(&out).expect("sent again"), first);
     assert!(out.iter().any(|a| matches!(a, Action::Send { try_for_us, .. } if *try_for_us <= 50_000)));
-    b.now += 50_000;
-    let out = b.end(1, first, Outcome::TimedOut, false);
+    bench.now += 50_000;
+    let out = bench.end(1, first, Outcome::TimedOut, false);
     assert!(sent(&out).is_none() && (refused(&out) || failed(&out)), "no time left: answered at once");
 }
 
 #[test]
-fn a_paid_set_up_that_may_have_run_is_neither_sent_again_nor_refused() {
+fn an_at_most_once_set_up_that_may_have_run_is_neither_retried_nor_refused() {
     for outcome in [Outcome::Failed, Outcome::TimedOut, Outcome::Reset, Outcome::Canceled] {
-        let mut b = Bench::new(settings(vec![class(1.0, Effect::AtMostOnce)]));
-        let at = sent(&b.ask(request(1, 0))).expect("sent");
-        let out = b.end(1, at, outcome, false);
+        let mut bench = Bench::new(settings(vec![class(1.0, Effect::AtMostOnce)]));
+        let at = sent(&bench.ask(request(1, 0))).expect("sent");
+        let out = bench.end(1, at, outcome, false);
         assert!(sent(&out).is_none() && !refused(&out) && failed(&out), "{outcome:?}: {out:?}");
     }
-    let mut b = Bench::new(settings(vec![class(1.0, Effect::AtMostOnce)]));
-    let at = sent(&b.ask(request(1, 0))).expect("sent");
-    assert!(sent(&b.end(1, at, Outcome::QueueFull, false)).is_some(), "provably never ran");
+    let mut bench = Bench::new(settings(vec![class(1.0, Effect::AtMostOnce)]));
+    let at = sent(&bench.ask(request(1, 0))).expect("sent");
+    assert!(sent(&bench.end(1, at, Outcome::QueueFull, false)).is_some(), "it provably never ran");
 }
 
 #[test]
-fn a_deduplicated_set_up_stays_in_its_cell_and_window() {
+fn a_deduplicated_set_up_is_retried_only_in_its_cell_and_repeat_window() {
     let mut c = class(1.0, Effect::Deduplicated);
     (c.dedup_scope, c.repeat_window_us) = (DedupScope::Cell, S);
-    let mut b = Bench::new(settings(vec![c]));
-    b.give(Event::List { scope: ListScope::Delta, entries: (4..8).map(|i| entry(i, i - 4)).collect() });
-    let first = sent(&b.ask(request(1, 0))).expect("sent");
-    let out = b.end(1, first, Outcome::TimedOut, false);
+    let mut bench = Bench::new(settings(vec![c]));
+    bench.give(Event::List { scope: ListScope::Delta, entries: (4..8).map(|i| entry(i, i - 4)).collect() });
+    let first = sent(&bench.ask(request(1, 0))).expect("sent");
+    let out = bench.end(1, first, Outcome::TimedOut, false);
     if let Some(next) = sent(&out) {
         assert_eq!(next.0 % 4, first.0 % 4, "same cell");
     }
-    b.now += 2 * S;
-    let out = b.end(1, first, Outcome::TimedOut, false);
-    assert!(sent(&out).is_none() && !refused(&out) && failed(&out), "past its window: {out:?}");
+    bench.now += 2 * S;
+    let out = bench.end(1, first, Outcome::TimedOut, false);
+    assert!(sent(&out).is_none() && !refused(&out) && failed(&out), "after its repeat window: {out:?}");
 }
 
 #[test]
-fn nothing_goes_to_a_streamer_that_drains_or_is_gone() {
+fn draining_and_gone_streamers_get_no_set_ups() {
     for standing in [Standing::Draining, Standing::Gone] {
-        let mut b = Bench::new(settings(idempotent()));
+        let mut bench = Bench::new(settings(idempotent()));
         let out: Vec<Entry> = (0..3).map(|i| Entry { standing, ..entry(i, i) }).collect();
-        b.give(Event::List { scope: ListScope::Delta, entries: out });
+        bench.give(Event::List { scope: ListScope::Delta, entries: out });
         for id in 1..12 {
-            if let Some(at) = sent(&b.ask(request(id, 0))) {
+            if let Some(at) = sent(&bench.ask(request(id, 0))) {
                 assert_eq!(at, StreamerId(3));
             }
         }
     }
-    let mut b = Bench::new(settings(idempotent()));
-    b.give(Event::List { scope: ListScope::Full, entries: vec![entry(2, 2)] });
-    assert_eq!(sent(&b.ask(request(1, 0))), Some(StreamerId(2)), "absent from a full list is gone");
+    let mut bench = Bench::new(settings(idempotent()));
+    bench.give(Event::List { scope: ListScope::Full, entries: vec![entry(2, 2)] });
+    assert_eq!(sent(&bench.ask(request(1, 0))), Some(StreamerId(2)), "gone: not in a full list");
 }
 
 #[test]
-fn only_holders_of_the_title_are_asked() {
-    let mut b = Bench::new(settings(idempotent()));
+fn only_holders_of_the_title_get_set_ups() {
+    let mut bench = Bench::new(settings(idempotent()));
     for id in 1..30 {
         let mut r = request(id, 0);
         (r.start_cell, r.cells_in_row) = (3, 2);
-        if let Some(at) = sent(&b.ask(r)) {
-            assert!(at.0 == 3 || at.0 == 0, "cells 3 and 0 hold it, not {at:?}");
+        if let Some(at) = sent(&bench.ask(r)) {
+            assert!(at.0 == 3 || at.0 == 0, "cells 3 and 0 hold the title, not {at:?}");
         }
     }
 }
 
 #[test]
-fn floor_and_best_rung_bind_always() {
+fn rungs_stay_between_the_lowest_and_the_viewers_best() {
     let mut c = class(1.0, Effect::Idempotent);
     c.lowest_rung = 1;
-    let mut b = Bench::new(settings(vec![c]));
+    let mut bench = Bench::new(settings(vec![c]));
     let mut r = request(1, 0);
     r.max_rung = 2;
-    let mut out = b.ask(r);
+    let mut out = bench.ask(r);
     let at = sent(&out).expect("sent");
-    out.extend(b.start(1, at));
+    out.extend(bench.start(1, at));
     for _ in 0..30 {
-        out.extend(b.note(1, at, NoteKind::Delivered, 0.5));
-        out.extend(b.sweep(S));
+        out.extend(bench.note(1, at, NoteKind::Delivered, 0.5));
+        out.extend(bench.sweep(S));
     }
-    let downs = out.len();
+    let after_overload = out.len();
     for _ in 0..100 {
-        out.extend(b.note(1, at, NoteKind::LinkUse, 0.05));
-        out.extend(b.note(1, at, NoteKind::UplinkUse, 0.05));
-        out.extend(b.sweep(S));
+        out.extend(bench.note(1, at, NoteKind::LinkUse, 0.05));
+        out.extend(bench.note(1, at, NoteKind::UplinkUse, 0.05));
+        out.extend(bench.sweep(S));
     }
     let rungs = |a: &[Action]| -> Vec<usize> {
         a.iter().filter_map(|a| if let Action::Rate { rung, .. } = a { Some(*rung) } else { None }).collect()
     };
     assert!(rungs(&out).iter().all(|r| (1..=2).contains(r)), "{:?}", rungs(&out));
-    assert!(rungs(&out[..downs]).contains(&1), "stepped down after short delivery");
-    assert!(rungs(&out[downs..]).contains(&2), "stepped up when room returned");
+    assert!(rungs(&out[..after_overload]).contains(&1), "stepped down after short delivery");
+    assert!(rungs(&out[after_overload..]).contains(&2), "stepped up when room returned");
 }
 
 #[test]
-fn seats_count_set_ups_and_handed_over_sessions() {
+fn seats_count_set_ups_in_flight_and_sessions_taken_over() {
     let mut c = class(1.0, Effect::Idempotent);
     c.seats = 3;
-    let mut b = Bench::new(settings(vec![c]));
+    let mut bench = Bench::new(settings(vec![c]));
     let title = |id| Request { title: TitleId(9), ..request(id, 0) };
-    b.give(Event::Preexisting(title(1), StreamerId(0)));
-    assert!(sent(&b.ask(title(2))).is_some());
-    let at = sent(&b.ask(title(3))).expect("third seat");
-    assert!(refused(&b.ask(title(4))), "all seats are taken");
-    b.give(Event::ClientGone(RequestId(3)));
-    assert!(refused(&b.ask(title(5))), "the set-up is still out, the client's leaving frees nothing");
-    b.end(3, at, Outcome::Canceled, true);
-    assert!(sent(&b.ask(title(6))).is_some());
+    bench.give(Event::Preexisting(title(1), StreamerId(0)));
+    assert!(sent(&bench.ask(title(2))).is_some());
+    let at = sent(&bench.ask(title(3))).expect("third seat");
+    assert!(refused(&bench.ask(title(4))), "all seats are taken");
+    bench.give(Event::ClientGone(RequestId(3)));
+    assert!(refused(&bench.ask(title(5))), "the client left, the set-up is still in flight");
+    bench.end(3, at, Outcome::Canceled, true);
+    assert!(sent(&bench.ask(title(6))).is_some());
 }
 
 #[test]
-fn further_attempts_stay_within_the_ration() {
+fn retries_stay_within_the_retry_budget() {
     let budget =
         AttemptBudget { base_attempts: 2.0, per_request: 0.1, window_us: 10 * S, max_dial_delay_us: 0 };
-    let mut b = Bench::new(Settings { attempt_budget: Some(budget), ..settings(idempotent()) });
-    let mut resent = 0;
+    let mut bench = Bench::new(Settings { attempt_budget: Some(budget), ..settings(idempotent()) });
+    let mut retries = 0;
     for id in 1..=20 {
-        if let Some(at) = sent(&b.ask(request(id, 0))) {
-            resent += usize::from(sent(&b.end(id, at, Outcome::QueueFull, false)).is_some());
+        if let Some(at) = sent(&bench.ask(request(id, 0))) {
+            retries += usize::from(sent(&bench.end(id, at, Outcome::QueueFull, false)).is_some());
         }
     }
-    assert!((2..=4).contains(&resent), "2 and a tenth of 20, not {resent}");
+    assert!((2..=4).contains(&retries), "2 plus a tenth of 20, not {retries}");
 }
 
 /// An attempt that waits for its connection goes out later than it was decided: one sent just after the span of
 /// the former ones still met them in the span that is counted as the bytes go out.
 #[test]
-fn a_further_attempt_counts_for_as_long_as_it_may_have_waited() {
+fn a_retry_counts_for_the_window_plus_the_longest_dial_delay() {
     for (after, allowed) in [(10 * S + S / 5, false), (10 * S + S / 4 + 1, true)] {
         let budget = AttemptBudget {
             base_attempts: 1.0,
@@ -159,192 +159,199 @@
             window_us: 10 * S,
             max_dial_delay_us: S / 4,
         };
-        let mut b = Bench::new(Settings { attempt_budget: Some(budget), ..settings(idempotent()) });
-        let again = |b: &mut Bench, id| {
-            let at = sent(&b.ask(request(id, 0))).expect("sent");
-            sent(&b.end(id, at, Outcome::QueueFull, false)).is_some()
+        let mut bench = Bench::new(Settings { attempt_budget: Some(budget), ..settings(idempotent()) });
+        let retried = |bench: &mut Bench, id| {
+            let at = sent(&bench.ask(request(id, 0))).expect("sent");
+            sent(&bench.end(id, at, Outcome::QueueFull, false)).is_some()
         };
-        assert!(again(&mut b, 1), "the first is free");
-        assert!(!again(&mut b, 2), "the second is over the budget");
-        b.now += after;
-        assert_eq!(again(&mut b, 3), allowed, "after {after} us");
+        assert!(retried(&mut bench, 1), "the first is within the budget");
+        assert!(!retried(&mut bench, 2), "the second is over the budget");
+        bench.now += after;
+        assert_eq!(retried(&mut bench, 3), allowed, "after {after} us");
     }
 }
 
 #[test]
-fn a_failing_streamer_is_barred_and_tried_again_later() {
-    let mut b = Bench::new(settings(idempotent()));
-    b.prove_titles();
-    let bad = sent(&b.ask(request(1, 0))).expect("sent");
-    let out = b.end(1, bad, Outcome::Failed, false);
+fn a_failing_streamer_is_barred_until_its_suspicion_decays() {
+    let mut bench = Bench::new(settings(idempotent()));
+    bench.prove_titles();
+    let bad = sent(&bench.ask(request(1, 0))).expect("sent");
+    let out = bench.end(1, bad, Outcome::Failed, false);
     assert!(out.iter().any(|a| matches!(a, Action::Log(l) if l.contains("suspected"))));
     for id in 2..20 {
-        assert_ne!(sent(&b.ask(request(id, 0))), Some(bad));
+        assert_ne!(sent(&bench.ask(request(id, 0))), Some(bad));
     }
-    b.now += 60 * S;
-    let again = (20..60).any(|id| {
-        let out = b.ask(request(id, 0));
+    bench.now += 60 * S;
+    let used_again = (20..60).any(|id| {
+        let out = bench.ask(request(id, 0));
         sent(&out) == Some(bad)
     });
-    assert!(again, "suspicion fades");
+    assert!(used_again, "suspicion decays");
 }
 
 /// A zone that came back stood all but empty for many seconds: what its streamers had failed in before their
 /// restart still weighed as much as a quarter of a link in use.
 #[test]
-fn a_restart_voids_what_was_held_against_a_streamer() {
-    let mut b = Bench::new(Settings { warm_up_us: S / 10, ..settings(idempotent()) });
-    let bad = sent(&b.ask(request(1, 0))).expect("sent");
-    b.end(1, bad, Outcome::ConnectError, true);
-    let back = Entry { started_at: Some(b.now), ..entry(bad.0, bad.0) };
-    b.give(Event::List { scope: ListScope::Delta, entries: vec![back] });
-    b.now += S;
+fn a_restart_clears_the_suspicion_of_a_streamer() {
+    let mut bench = Bench::new(Settings { warm_up_us: S / 10, ..settings(idempotent()) });
+    let bad = sent(&bench.ask(request(1, 0))).expect("sent");
+    bench.end(1, bad, Outcome::ConnectError, true);
+    let restarted = Entry { started_at: Some(bench.now), ..entry(bad.0, bad.0) };
+    bench.give(Event::List { scope: ListScope::Delta, entries: vec![restarted] });
+    bench.now += S;
     let used = (2..40).any(|id| {
-        let at = sent(&b.ask(request(id, 0))).expect("sent");
-        b.end(id, at, Outcome::Canceled, true);
+        let at = sent(&bench.ask(request(id, 0))).expect("sent");
+        bench.end(id, at, Outcome::Canceled, true);
         at == bad
     });
-    assert!(used, "as good as any other");
+    assert!(used, "the restarted streamer is chosen like any other");
 }
 
 /// Requests were refused for want of room beside sessions on high rungs. One step down there frees several
 /// sessions' worth of the lowest rate; where it earns less than it loses nothing is stepped.
 #[test]
-fn a_request_without_room_steps_a_dearer_rung_down_where_that_earns_more() {
-    let asked = |class: usize| {
+fn a_request_without_room_steps_a_session_down_where_that_earns_more() {
+    let request_of = |class: usize| {
         let classes = vec![class_of(1.0), class_of(0.1)];
         let (weight_kb, fleet_kb, rack_kb) = (850.0, 3400.0, 3400.0);
-        let mut b = Bench::new(Settings { weight_kb, fleet_kb, rack_kb, ..settings(classes) });
-        b.prove_titles();
+        let mut bench = Bench::new(Settings { weight_kb, fleet_kb, rack_kb, ..settings(classes) });
+        bench.prove_titles();
         for id in 1..=4 {
-            b.give(Event::Preexisting(request(id, 0), StreamerId(id as u32 - 1)));
-            b.note(id, StreamerId(id as u32 - 1), NoteKind::Rung, 3.0);
+            bench.give(Event::Preexisting(request(id, 0), StreamerId(id as u32 - 1)));
+            bench.note(id, StreamerId(id as u32 - 1), NoteKind::Rung, 3.0);
         }
-        b.now += 4 * S;
-        b.ask(request(50, class))
+        bench.now += 4 * S;
+        bench.ask(request(50, class))
     };
-    let out = asked(0);
-    let down = |a: &Action| matches!(a, Action::Rate { request, rung: 2 } if request.0 <= 4);
-    assert!(sent(&out).is_some() && out.iter().filter(|a| down(a)).count() == 1, "{out:?}");
-    let out = asked(1);
+    let out = request_of(0);
+    let stepped_down = |a: &Action| matches!(a, Action::Rate { request, rung: 2 } if request.0 <= 4);
+    assert!(sent(&out).is_some() && out.iter().filter(|a| stepped_down(a)).count() == 1, "{out:?}");
+    let out = request_of(1);
     assert!(refused(&out) && rated(&out) == 0, "{out:?}");
 }
 
 /// At 8 points of a session's worth a probe, a hundred controllers that each asked at a session or two a second
 /// paid 0.09 of the result and gained nothing.
 #[test]
-fn probes_that_cost_more_than_they_bring_are_not_sent() {
-    let asked = |probe_price| {
+fn probes_that_cost_more_than_they_gain_are_not_sent() {
+    let probes_at = |probe_price| {
         let set = Settings { probes: true, reports: ReportMode::ProbeOnly, probe_price, ..one_of(0, 100) };
-        let mut b = Bench::new(set);
-        let out: Vec<_> = (0..10).flat_map(|id| [b.ask(request(id, 0)), b.sweep(S)].concat()).collect();
+        let mut bench = Bench::new(set);
+        let out: Vec<_> =
+            (0..10).flat_map(|id| [bench.ask(request(id, 0)), bench.sweep(S)].concat()).collect();
         out.iter().filter(|a| matches!(a, Action::Probe(_))).count()
     };
-    assert_eq!((asked(0.01) > 0, asked(0.08)), (true, 0));
+    assert_eq!((probes_at(0.01) > 0, probes_at(0.08)), (true, 0));
 }
 
 /// A barred streamer was left out for half a minute after its trouble had ended: it could be tried, but its
 /// suspicion ranked it last. A load test does not clear it, since one that stalls answers those.
 #[test]
-fn a_barred_streamer_is_tried_first_by_what_can_go_elsewhere_in_time() {
-    let mut b = Bench::new(settings(vec![class(1.0, Effect::Idempotent), class(1.0, Effect::AtMostOnce)]));
-    b.prove_titles();
-    let bad = sent(&b.ask(request(1, 0))).expect("sent");
-    b.end(1, bad, Outcome::Failed, true);
-    b.give(Event::Probed { streamer: bad, outcome: Outcome::Ok, report: LoadReport::default() });
-    b.now += 2 * S;
-    assert_ne!(sent(&b.ask(request(2, 1))), Some(bad), "not by a paid one");
-    assert_ne!(sent(&b.ask(Request { left_us: S / 2, ..request(3, 0) })), Some(bad), "nor with little time");
-    assert_eq!(sent(&b.ask(request(4, 0))), Some(bad), "by one that can be sent again");
-    assert_ne!(sent(&b.ask(request(5, 0))), Some(bad), "one at a time");
-    b.start(4, bad);
-    let again = (6..20).any(|id| sent(&b.ask(request(id, 1))) == Some(bad));
-    assert!(again, "a session that stands clears it");
+fn a_barred_streamer_gets_a_trial_from_a_request_that_can_still_be_retried() {
+    let mut bench =
+        Bench::new(settings(vec![class(1.0, Effect::Idempotent), class(1.0, Effect::AtMostOnce)]));
+    bench.prove_titles();
+    let bad = sent(&bench.ask(request(1, 0))).expect("sent");
+    bench.end(1, bad, Outcome::Failed, true);
+    bench.give(Event::Probed { streamer: bad, outcome: Outcome::Ok, report: LoadReport::default() });
+    bench.now += 2 * S;
+    assert_ne!(sent(&bench.ask(request(2, 1))), Some(bad), "no trial by an at-most-once request");
+    assert_ne!(
+        sent(&bench.ask(Request { left_us: S / 2, ..request(3, 0) })),
+        Some(bad),
+        "nor with little time"
+    );
+    assert_eq!(sent(&bench.ask(request(4, 0))), Some(bad), "a trial by a request that can be retried");
+    assert_ne!(sent(&bench.ask(request(5, 0))), Some(bad), "one trial at a time");
+    bench.start(4, bad);
+    let cleared = (6..20).any(|id| sent(&bench.ask(request(id, 1))) == Some(bad));
+    assert!(cleared, "a session that starts clears the suspicion");
 }
 
 /// Clients that ask for what no streamer knows drew an error from every healthy streamer, which barred them
 /// all, and counted as arrivals. Their titles never stood.
 #[test]
-fn a_title_that_never_stood_blames_no_streamer_and_counts_for_nothing() {
-    let mut b = Bench::new(settings(idempotent()));
-    b.prove_titles();
+fn a_title_without_a_started_session_adds_no_suspicion_and_no_arrivals() {
+    let mut bench = Bench::new(settings(idempotent()));
+    bench.prove_titles();
     let unknown = |id| Request { title: TitleId(77), viewer: ViewerId(77), max_rung: 0, ..request(id, 0) };
     for id in 1..40 {
-        let mut at = sent(&b.ask(unknown(id))).expect("all are trusted still");
-        let mut tries = 1;
-        while let Some(next) = sent(&b.end(id, at, Outcome::Failed, false)) {
-            (at, tries) = (next, tries + 1);
+        let mut at = sent(&bench.ask(unknown(id))).expect("no streamer is barred");
+        let mut attempts = 1;
+        while let Some(next) = sent(&bench.end(id, at, Outcome::Failed, false)) {
+            (at, attempts) = (next, attempts + 1);
         }
-        assert_eq!(tries, 2, "an error elsewhere is no news after two");
+        assert_eq!(attempts, 2, "a third error would tell nothing new");
     }
-    let open = (100..200).filter(|id| sent(&b.ask(unknown(*id))).is_some()).count();
-    assert_eq!(open, 16, "few of them are out at a time");
-    let out = b.ask(request(300, 0));
-    assert!(sent(&out).is_some(), "a title that has stood is not held up by them");
+    let open = (100..200).filter(|id| sent(&bench.ask(unknown(*id))).is_some()).count();
+    assert_eq!(open, 16, "few of them are in flight at a time");
+    let out = bench.ask(request(300, 0));
+    assert!(sent(&out).is_some(), "a title of which a session has started is not delayed by them");
 }
 
 #[test]
-fn full_links_are_refused_at_once_and_room_is_kept_for_the_dear_class() {
-    let mut b = Bench::new(settings(vec![class(1.0, Effect::Idempotent), class(9.0, Effect::Idempotent)]));
+fn full_links_refuse_at_once_and_keep_room_for_the_class_of_higher_worth() {
+    let mut bench =
+        Bench::new(settings(vec![class(1.0, Effect::Idempotent), class(9.0, Effect::Idempotent)]));
     let mut id = 0;
     let mut last_refused = false;
     while id < 400 {
         id += 1;
-        let out = b.ask(request(id, 0));
+        let out = bench.ask(request(id, 0));
         match sent(&out) {
-            Some(at) => drop(b.start(id, at)),
+            Some(at) => drop(bench.start(id, at)),
             None => {
                 last_refused = refused(&out);
                 break;
             }
         }
     }
-    assert!(last_refused, "no room: refused with a hint, in the same call");
-    let out = b.ask(request(1_000, 1));
-    assert!(sent(&out).is_some(), "room is kept for the dear class: {out:?}");
+    assert!(last_refused, "no room: refused with a hold-off, in the same call");
+    let out = bench.ask(request(1_000, 1));
+    assert!(sent(&out).is_some(), "room is kept for the class of higher worth: {out:?}");
 }
 
 #[test]
-fn absurd_values_do_no_harm() {
-    let mut b = Bench::new(settings(idempotent()));
-    let at = sent(&b.ask(request(1, 0))).expect("sent");
-    b.start(1, at);
+fn invalid_values_do_no_harm() {
+    let mut bench = Bench::new(settings(idempotent()));
+    let at = sent(&bench.ask(request(1, 0))).expect("sent");
+    bench.start(1, at);
     for v in [f64::NAN, f64::INFINITY, -1.0, 1e300, 0.0] {
         for kind in [NoteKind::Delivered, NoteKind::Rung, NoteKind::LinkUse, NoteKind::UplinkUse] {
-            b.note(1, at, kind, v);
-            b.note(77, StreamerId(99), kind, v);
+            bench.note(1, at, kind, v);
+            bench.note(77, StreamerId(99), kind, v);
         }
         let report = LoadReport { streams: Some(v), link_capped: Some(v), link: Some(v), uplink: Some(v) };
-        b.give(Event::Probed { streamer: at, outcome: Outcome::Ok, report });
-        b.sweep(0);
+        bench.give(Event::Probed { streamer: at, outcome: Outcome::Ok, report });
+        bench.sweep(0);
     }
-    b.give(Event::List { scope: ListScope::Failed, entries: vec![] });
-    b.give(Event::List { scope: ListScope::Full, entries: vec![] });
-    b.end(99, StreamerId(42), Outcome::Reset, true);
-    assert!(refused(&b.ask(request(2, 0))), "no streamer is left");
+    bench.give(Event::List { scope: ListScope::Failed, entries: vec![] });
+    bench.give(Event::List { scope: ListScope::Full, entries: vec![] });
+    bench.end(99, StreamerId(42), Outcome::Reset, true);
+    assert!(refused(&bench.ask(request(2, 0))), "no streamer is left");
 }
 
 #[test]
-fn unusable_settings_are_told_apart() {
-    let new = |s: Settings| Controller::new(s, 1, 0).err();
-    assert_eq!(new(settings(vec![])), Some(SettingsError::NoClasses));
-    assert_eq!(new(Settings { ladder_kb: vec![], ..settings(idempotent()) }), Some(SettingsError::BadLadder));
+fn each_kind_of_invalid_settings_has_its_error() {
+    let err = |s: Settings| Controller::new(s, 1, 0).err();
+    assert_eq!(err(settings(vec![])), Some(SettingsError::NoClasses));
+    assert_eq!(err(Settings { ladder_kb: vec![], ..settings(idempotent()) }), Some(SettingsError::BadLadder));
     let mut c = class(1.0, Effect::Idempotent);
     c.lowest_rung = 9;
-    assert_eq!(new(settings(vec![c])), Some(SettingsError::NoRung(0)));
+    assert_eq!(err(settings(vec![c])), Some(SettingsError::NoRung(0)));
     let none = Some(SettingsError::NoSuchController { me: 3, controllers: 2 });
-    assert_eq!(new(Settings { me: 3, controllers: 2, ..settings(idempotent()) }), none);
-    assert!(new(Settings { rack_kb: f64::NAN, ..settings(idempotent()) }).is_some());
+    assert_eq!(err(Settings { me: 3, controllers: 2, ..settings(idempotent()) }), none);
+    assert!(err(Settings { rack_kb: f64::NAN, ..settings(idempotent()) }).is_some());
 }
 
 #[test]
-fn same_events_same_actions() {
+fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut b = Bench::new(settings(idempotent()));
+        let mut bench = Bench::new(settings(idempotent()));
         let mut all = Vec::new();
         for id in 1..100 {
-            all.extend(b.ask(request(id, 0)));
-            all.extend(b.sweep(100_000));
+            all.extend(bench.ask(request(id, 0)));
+            all.extend(bench.sweep(100_000));
         }
         all
     };
@@ -353,31 +360,32 @@
 
 #[test]
 fn an_idle_pool_lends_its_slots_while_links_have_room() {
-    let mut b = Bench::new(settings(vec![class(1.0, Effect::Idempotent), class(9.0, Effect::Idempotent)]));
+    let mut bench =
+        Bench::new(settings(vec![class(1.0, Effect::Idempotent), class(9.0, Effect::Idempotent)]));
     let small = |id| Request { max_rung: 0, ..request(id, 0) };
-    b.prove_titles();
-    let sent_all = (1..=30).filter(|id| sent(&b.ask(small(*id))).is_some()).count();
     // Split by worth, the cheap class owns a tenth of the slots, 15 at most: the rest is borrowed.
+    bench.prove_titles();
+    let sent_all = (1..=30).filter(|id| sent(&bench.ask(small(*id))).is_some()).count();
     assert_eq!(sent_all, 30);
     let at = StreamerId(0);
     for id in 1..=30 {
-        b.note(id, at, NoteKind::UplinkUse, 0.99);
+        bench.note(id, at, NoteKind::UplinkUse, 0.99);
     }
-    assert!(refused(&b.ask(small(99))), "a borrower needs room on the uplink");
+    assert!(refused(&bench.ask(small(99))), "a borrowed slot needs room on the uplink");
 }
 
 #[test]
-fn discovery_that_must_be_asked_is_asked_and_asked_again_after_a_failure() {
-    let asked = |a: &[Action]| a.iter().any(|a| matches!(a, Action::Subscribe));
+fn discovery_on_request_is_repeated_after_a_failed_call() {
+    let subscribes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
     let set = Settings { discovery_on_request: true, ..settings(idempotent()) };
     let mut c = Controller::new(set, 1, 0).unwrap();
     let mut out = Vec::new();
     c.handle(0, Event::List { scope: ListScope::Cached, entries: vec![entry(0, 0)] }, &mut out);
-    assert!(asked(&out));
+    assert!(subscribes(&out));
     out.clear();
     c.handle(S, Event::Timer(TimerTag(1)), &mut out);
-    assert!(!asked(&out), "not again so soon");
+    assert!(!subscribes(&out), "not again so soon");
     c.handle(S, Event::List { scope: ListScope::Failed, entries: vec![] }, &mut out);
     c.handle(S + 250_000, Event::Timer(TimerTag(1)), &mut out);
-    assert!(asked(&out), "again after a failed call");
+    assert!(subscribes(&out), "again after a failed call");
 }
