--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -1,5 +1,5 @@
-//! Time per request in the decision module, by the number of streamers, the load and the request rate, as
-//! ratios within one run: machines are noisy. `cargo bench --bench cost`.
+//! Time per request in the decision module, by number of streamers, load and request rate. Given as ratios
+//! within one run, since absolute times vary between machines and runs. Run with `cargo bench --bench cost`.
 #[path = "../tests/common/mod.rs"]
 mod common;
 use common::*;
@@ -10,8 +10,8 @@
 
 const REQUESTS: u64 = 4_000;
 
-/// Median and 99th percentile of a request with its set-up, nanoseconds, at a rate a second and for sessions
-/// that last for `life` microseconds.
+/// Median and 99th percentile of the time for a request with its set-up, in nanoseconds, at a rate of
+/// `requests_per_s` and for sessions of `session_us` microseconds.
 fn measure(streamers: u32, requests_per_s: u64, session_us: u64) -> (u64, u64) {
     let racks = streamers.div_ceil(10);
     let set = Settings {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,9 +1,10 @@
-//! Cold streamers: the pace that all controllers together keep, and whose turn it is.
+//! Cold streamers: the pace of set-ups that all controllers keep together, and the turns of the controllers.
 mod common;
 use common::*;
 use stonewharf::*;
 
-/// All controllers together on one cold streamer, with a request for it every so often at each.
+/// Times of the set-ups that all controllers send to one cold streamer, with a request at each of them every
+/// `interval` microseconds.
 fn cold_set_ups(settings: &Settings, interval: u64, prepare: impl Fn(&mut Controller)) -> Vec<u64> {
     let controllers = settings.controllers;
     let mut fleet: Vec<Controller> = (0..controllers)
@@ -31,6 +32,7 @@
     set_ups
 }
 
+/// Checks that there are set-ups at all, and at most `max_per_s` of them in any second.
 fn assert_paced(set_ups: &[u64], max_per_s: usize) {
     assert!(!set_ups.is_empty(), "a cold streamer gets set-ups");
     for from in set_ups {
@@ -39,6 +41,7 @@
     }
 }
 
+/// Lists one streamer that has just started.
 fn list_cold_streamer(controller: &mut Controller) {
     let cold = Entry { started_at: Some(99 * S), ..entry(0, 0) };
     controller.handle(99 * S, Event::List { scope: ListScope::Full, entries: vec![cold] }, &mut Vec::new());
@@ -47,29 +50,30 @@
 #[test]
 fn all_controllers_together_keep_the_pace_of_a_cold_streamer() {
     for controllers in [1, 2, 3, 7, 20, 24, 30, 40] {
-        // 40 streams over 10 s of warm-up, half of it at first, twice that at most: 4 in any second.
+        // 40 streams over a warm-up of 10 s, from half the capacity, at most twice that: 4 in any second.
         let set = Settings { controllers, ..settings(idempotent()) };
         assert_paced(&cold_set_ups(&set, 20_000, list_cold_streamer), 4);
     }
 }
 
-/// One turn of 71 ms in seven seconds for each of a hundred controllers: at a request or two a second each, new
-/// streamers stood all but empty through their warm-up while the others ran short.
+/// Each of a hundred controllers had one turn of 71 ms in seven seconds. At a request or two a second each,
+/// new streamers stayed almost empty through their warm-up while the others ran out of room.
 #[test]
-// 200 streams over 10 s of warm-up, half of it at first, twice that at most: 20 in any second.
 fn many_controllers_with_few_requests_each_use_the_pace_of_a_cold_streamer() {
+    // 200 streams over a warm-up of 10 s, from half the capacity, at most twice that: 20 in any second.
     let set = Settings { controllers: 100, kinds_streams: vec![200], ..settings(idempotent()) };
     assert_paced(&cold_set_ups(&set, 20_000, list_cold_streamer), 20);
     let set_ups = cold_set_ups(&set, 700_000, list_cold_streamer).iter().filter(|t| **t < 108 * S).count();
     assert!(set_ups >= 24, "{set_ups} set-ups in 8 s of 1,100 requests");
 }
 
-/// herd+mass: seven in ten of 300 directors restarted at once, with nothing handed over, and took every
-/// streamer for cold through a whole warm-up: a third of the viewers who came back to them were refused while
-/// links stood half empty. The list tells starts to all directors alike, and a restarted one paces only those.
+/// Seen in herd+mass: seven in ten of 300 directors restarted at once, without a handover, and took every
+/// streamer for cold through a whole warm-up. A third of the viewers who came back to them were refused while
+/// links were half empty. The list gives start times to all directors alike; a restarted director paces only
+/// the streamers that the list shows as started.
 #[test]
-// A fleet a thousand times the usual one, so that 300 controllers' guesses by own sessions leave room.
 fn a_restarted_director_takes_only_listed_starts_for_cold() {
+    // A fleet of a thousand times the usual size, so that the estimates of 300 controllers leave room.
     let (fleet_kb, rack_kb, weight_kb) = (12e6, 12e6, 3e6);
     let set = Settings { controllers: 300, me: 7, fleet_kb, rack_kb, weight_kb, ..settings(idempotent()) };
     let mut controller = Controller::new(set, 1, 99 * S).unwrap();
@@ -92,9 +96,9 @@
     assert!(at_started <= 1, "the streamer that started keeps its pace: {streamers:?}");
 }
 
-/// One that starts again in its place can't know whether the one before it took the turn at a cold streamer that
-/// is open: it waits for the next. All together kept the pace but just after such a restart (the halls'
-/// property test failed for 3 of 400 seeds, each time there).
+/// A restarted director cannot know whether its previous process used the current turn at a cold streamer, so
+/// it waits for the next one. Without this the pace was exceeded just after such a restart (the property test
+/// of the halls failed for 3 of 400 seeds, each time there).
 #[test]
 fn a_restarted_director_waits_for_the_next_cold_turn() {
     let set = Settings { controllers: 2, ..settings(idempotent()) };
@@ -117,7 +121,7 @@
     assert!(sent(&out).is_none(), "the current turn was used already: {out:?}");
 }
 
-/// ice9910: turns of all streamers at the same time left a restarted controller idle half the time.
+/// Seen in ice9910: turns at the same time for all streamers left a restarted controller idle half the time.
 #[test]
 fn cold_turns_of_neighbouring_cells_differ() {
     let set = Settings { controllers: 2, ..settings(idempotent()) };
--- a/tests/payoff.rs
+++ b/tests/payoff.rs
@@ -1,12 +1,12 @@
-//! The paper's pools: values worked out by hand, and the split against exhaustive search.
+//! The Erlang-loss pools: payoffs calculated by hand, and the split compared with an exhaustive search.
 use stonewharf::{erlang_payoff, split_slots};
 
 #[test]
-// a = 2, n = 2: P(n) = (4/2) / (1 + 2 + 2) = 0.4, carried 1.2.
 fn payoff_equals_values_calculated_by_hand() {
+    // Offered load a = 2, n = 2 slots: blocking P(n) = (4/2) / (1 + 2 + 2) = 0.4, carried load 1.2.
     assert!((erlang_payoff(2.0, 2, 3.0, 0.0) - 3.6).abs() < 1e-12);
     assert!((erlang_payoff(2.0, 2, 3.0, 0.5) - 3.4).abs() < 1e-12);
-    // a = 1, n = 1: half is lost. No slots: all is lost.
+    // a = 1, n = 1: half of the load is lost. Without slots all of it is.
     assert!((erlang_payoff(1.0, 1, 1.0, 0.0) - 0.5).abs() < 1e-12);
     assert_eq!(erlang_payoff(1.0, 0, 1.0, 0.0), 0.0);
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! Long random legal event sequences, fixed seeds, against an independent check of the rules.
+//! Long random sequences of legal events, with fixed seeds, against an independent check of the rules.
 mod common;
 use common::*;
 use rand_chacha::ChaCha8Rng;
@@ -6,9 +6,11 @@
 use std::collections::BTreeMap;
 use stonewharf::*;
 
+/// What the check knows of a request that is open or whose attempt has not ended.
 #[derive(Clone)]
 struct RequestState {
     request: Request,
+    /// The streamer of the attempt or session, and whether it plays.
     in_flight: Option<(StreamerId, bool)>,
     attempts: u32,
     may_have_run: bool,
@@ -16,6 +18,7 @@
     rung: usize,
 }
 
+/// Runs one sequence and checks every action.
 fn run_sequence(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut random = |n: u64| rng.next_u64() % n;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each of the six rules, and each failure found, on hand-made events.
+//! Each of the six rules, and regressions of the decision module, on hand-written events.
 mod common;
 use common::*;
 use stonewharf::*;
@@ -148,8 +148,8 @@
     assert!((2..=4).contains(&retries), "2 plus a tenth of 20, not {retries}");
 }
 
-/// An attempt that waits for its connection goes out later than it was decided: one sent just after the span of
-/// the former ones still met them in the span that is counted as the bytes go out.
+/// An attempt that waits for its connection is sent later than it was decided. One decided just after the
+/// window of earlier attempts could still share a window with them, counted when the bytes are sent.
 #[test]
 fn a_retry_counts_for_the_window_plus_the_longest_dial_delay() {
     for (after, allowed) in [(10 * S + S / 5, false), (10 * S + S / 4 + 1, true)] {
@@ -189,8 +189,8 @@
     assert!(used_again, "suspicion decays");
 }
 
-/// A zone that came back stood all but empty for many seconds: what its streamers had failed in before their
-/// restart still weighed as much as a quarter of a link in use.
+/// A zone that came back stayed almost empty for many seconds: failures of its streamers from before their
+/// restart still cost as much in placement as a quarter of a link in use.
 #[test]
 fn a_restart_clears_the_suspicion_of_a_streamer() {
     let mut bench = Bench::new(Settings { warm_up_us: S / 10, ..settings(idempotent()) });
@@ -207,8 +207,8 @@
     assert!(used, "the restarted streamer is chosen like any other");
 }
 
-/// Requests were refused for want of room beside sessions on high rungs. One step down there frees several
-/// sessions' worth of the lowest rate; where it earns less than it loses nothing is stepped.
+/// Requests were refused for lack of room while sessions played at high rungs. One step down from there frees
+/// the lowest rate of several sessions. No session is stepped down where that loses more than it earns.
 #[test]
 fn a_request_without_room_steps_a_session_down_where_that_earns_more() {
     let request_of = |class: usize| {
@@ -230,8 +230,8 @@
     assert!(refused(&out) && rated(&out) == 0, "{out:?}");
 }
 
-/// At 8 points of a session's worth a probe, a hundred controllers that each asked at a session or two a second
-/// paid 0.09 of the result and gained nothing.
+/// At a probe price of 0.08 of a session's worth, a hundred controllers with a session or two a second each
+/// spent 0.09 of the result on probes and gained nothing.
 #[test]
 fn probes_that_cost_more_than_they_gain_are_not_sent() {
     let probes_at = |probe_price| {
@@ -244,8 +244,8 @@
     assert_eq!((probes_at(0.01) > 0, probes_at(0.08)), (true, 0));
 }
 
-/// A barred streamer was left out for half a minute after its trouble had ended: it could be tried, but its
-/// suspicion ranked it last. A load test does not clear it, since one that stalls answers those.
+/// A barred streamer stayed unused for half a minute after its failure ended: trials were permitted, but its
+/// suspicion ranked it last. A probe does not clear it, since a stalled streamer answers probes too.
 #[test]
 fn a_barred_streamer_gets_a_trial_from_a_request_that_can_still_be_retried() {
     let mut bench =
@@ -268,8 +268,8 @@
     assert!(cleared, "a session that starts clears the suspicion");
 }
 
-/// Clients that ask for what no streamer knows drew an error from every healthy streamer, which barred them
-/// all, and counted as arrivals. Their titles never stood.
+/// Requests for titles that do not exist got an error from every healthy streamer. This barred all streamers,
+/// and the requests counted as arrivals. No session of such a title ever starts.
 #[test]
 fn a_title_without_a_started_session_adds_no_suspicion_and_no_arrivals() {
     let mut bench = Bench::new(settings(idempotent()));
@@ -363,9 +363,9 @@
     let mut bench =
         Bench::new(settings(vec![class(1.0, Effect::Idempotent), class(9.0, Effect::Idempotent)]));
     let small = |id| Request { max_rung: 0, ..request(id, 0) };
-    // Split by worth, the cheap class owns a tenth of the slots, 15 at most: the rest is borrowed.
     bench.prove_titles();
     let sent_all = (1..=30).filter(|id| sent(&bench.ask(small(*id))).is_some()).count();
+    // Split by worth, the class of lower worth owns a tenth of the slots, at most 15. The rest is borrowed.
     assert_eq!(sent_all, 30);
     let at = StreamerId(0);
     for id in 1..=30 {
