--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -118,9 +118,11 @@
     pub(crate) fn hold_off(&self, request: &Request, max_hold_off: Micros, chance: f64) -> Micros {
         // Hold-offs are spread, so that viewers who are refused together do not come back together.
         let default = (max_hold_off as f64 * (0.25 + 0.5 * chance)) as Micros;
-        let members = self.members.iter();
-        let longest =
-            members.filter_map(|limits| limits.hold_off(self.now, request, max_hold_off, chance)).max();
+        let longest = self
+            .members
+            .iter()
+            .filter_map(|limits| limits.hold_off(self.now, request, max_hold_off, chance))
+            .max();
         longest.map_or(default, |hold_off| hold_off.min(max_hold_off))
     }
 }
--- a/crates/core/src/rules/load.rs
+++ b/crates/core/src/rules/load.rs
@@ -112,7 +112,7 @@
     }
 
     /// Records a load report that came with an answer or a probe result.
-    pub(super) fn take_report(&mut self, id: StreamerId, report: LoadReport) {
+    pub(super) fn apply_report(&mut self, id: StreamerId, report: LoadReport) {
         let at = self.now.saturating_sub(ASSUMED_REPORT_AGE_US);
         if self.now < self.ignore_reports_until {
             return;
@@ -124,7 +124,7 @@
     }
 
     /// Handles a note on a session: its rung, the load of links, or the share of its rate that was delivered.
-    pub(super) fn take_note(
+    pub(super) fn apply_note(
         &mut self,
         of: RequestId,
         id: StreamerId,
--- a/crates/core/src/rules/mod.rs
+++ b/crates/core/src/rules/mod.rs
@@ -274,10 +274,10 @@
             Event::Preexisting(request, streamer) => self.adopt_session(request, streamer),
             Event::Started { request, streamer, .. } => self.set_up_done(request, streamer),
             Event::Note { request: id, streamer, kind, value } => {
-                self.take_note(id, streamer, (kind, value), out)
+                self.apply_note(id, streamer, (kind, value), out)
             }
             Event::Ended { request, streamer, outcome, last, report, .. } => {
-                self.take_report(streamer, report);
+                self.apply_report(streamer, report);
                 self.attempt_ended(request, streamer, outcome, last, out);
             }
             Event::ClientGone(request) => self.client_gone(request),
--- a/crates/core/src/rules/placement.rs
+++ b/crates/core/src/rules/placement.rs
@@ -207,7 +207,7 @@
         let Some(s) = self.streamers.get_mut(&id) else { return };
         s.probe_in_flight = false;
         match outcome {
-            Outcome::Ok => self.take_report(id, report),
+            Outcome::Ok => self.apply_report(id, report),
             Outcome::ConnectError | Outcome::TimedOut => {
                 self.add_evidence(id, 1.5, "no answer to a probe", out)
             }
