--- a/crates/continuity/src/seam.rs
+++ b/crates/continuity/src/seam.rs
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use stonewharf_core::{
     Event, Limits, Micros, NoteKind, Outcome, Request, RequestId, StreamerId, Terms, TitleId, ViewerId,
-    name_number,
+    hash_name,
 };
 
 /// The number of the viewer and title of a session that another director set up.
 pub(crate) fn key_of(stub: &Stub) -> u64 {
-    let (viewer, title) = (ViewerId(name_number(&stub.viewer)), TitleId(name_number(&stub.title)));
+    let (viewer, title) = (ViewerId(hash_name(&stub.viewer)), TitleId(hash_name(&stub.title)));
     key(&Request { viewer, title, ..Request::default() })
 }
 
--- a/crates/continuity/tests/world/mod.rs
+++ b/crates/continuity/tests/world/mod.rs
@@ -81,7 +81,7 @@
         scale: 1.0,
         lowest_rung: 0,
         highest_rung: 2,
-        seats: 0,
+        max_sessions_per_title: 0,
         live: false,
     };
     Settings {
--- a/crates/continuity/tests/world/turn.rs
+++ b/crates/continuity/tests/world/turn.rs
@@ -2,7 +2,7 @@
 use super::{DIRECTORS, Event2, MET, Plays, SECOND, Sim};
 use stonewharf_continuity::{Deed, Member, Record, Stage, Stub, Word};
 use stonewharf_core::{
-    Event, Limits, Micros, Outcome, Request, RequestId, StreamerId, TitleId, ViewerId, name_number,
+    Event, Limits, Micros, Outcome, Request, RequestId, StreamerId, TitleId, ViewerId, hash_name,
 };
 
 impl Sim {
@@ -73,8 +73,8 @@
         let request = Request {
             id: RequestId(id),
             class: stonewharf_core::ClassId(usize::from(!paid)),
-            title: TitleId(name_number(&stub.title)),
-            viewer: ViewerId(name_number(&stub.viewer)),
+            title: TitleId(hash_name(&stub.title)),
+            viewer: ViewerId(hash_name(&stub.viewer)),
             returned,
             ..Request::default()
         };
@@ -245,8 +245,8 @@
         let request = Request {
             id: RequestId(id),
             class: stonewharf_core::ClassId(usize::from(record.stub.class != "paid")),
-            title: TitleId(name_number(&record.stub.title)),
-            viewer: ViewerId(name_number(&record.stub.viewer)),
+            title: TitleId(hash_name(&record.stub.title)),
+            viewer: ViewerId(hash_name(&record.stub.viewer)),
             ..Request::default()
         };
         self.tell(i, Event::Preexisting(request, StreamerId(0)));
--- a/crates/core/src/director/ledger/mod.rs
+++ b/crates/core/src/director/ledger/mod.rs
@@ -256,7 +256,9 @@
                     self.released(streamer, session, number, why, report, out);
                 }
             }
-            Input::Contact { streamer, up } => out.events.push(Event::Contact { streamer, up }),
+            Input::Contact { streamer, up } => {
+                out.events.push(Event::ConnectResult { streamer, connected: up })
+            }
             Input::DropHeard(_) => {}
             Input::LaidDown(ids) => ids.into_iter().for_each(|id| self.lay_down(id, out)),
             Input::Lost(streamer) => self.lost(streamer, Micros::MAX, out),
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -24,7 +24,7 @@
     ClassId(usize),
     /// Index into [`Settings::tenants`].
     TenantId(usize),
-    /// Index into [`Settings::kinds_streams`].
+    /// Index into [`Settings::max_streams_by_kind`].
     KindId(usize),
     /// A zone.
     ZoneId(u32),
@@ -85,7 +85,7 @@
     /// The highest rung.
     pub highest_rung: usize,
     /// Sessions of one title that one controller may hold; 0 = no cap.
-    pub seats: usize,
+    pub max_sessions_per_title: usize,
     /// Titles are live: viewers may share a stream.
     pub live: bool,
 }
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// This controller's number, from 0.
-    pub me: u32,
+    pub controller_index: u32,
     /// How many controllers there are.
     pub controllers: u32,
     /// The classes.
@@ -137,7 +137,7 @@
     /// Link of a streamer for each unit of its weight, kB a second.
     pub weight_kb: f64,
     /// For each kind: streams that it runs at most.
-    pub kinds_streams: Vec<u32>,
+    pub max_streams_by_kind: Vec<u32>,
     /// A streamer turns set-ups away while so much of its link is asked; 0 = never.
     pub full_from: f64,
     /// What a further viewer of a live title adds, as a part of the rate; 1 = nothing is shared.
@@ -177,7 +177,7 @@
     /// Price of a new connection, as a part of a session's worth.
     pub handshake_price: f64,
     /// For so long after a set-up its connection takes further ones.
-    pub keep_us: Micros,
+    pub connection_reuse_us: Micros,
     /// Price of a moved session, as a part of a session's worth.
     pub move_price: f64,
 }
@@ -198,10 +198,10 @@
     #[error("class {0} may use no rung of the ladder")]
     NoRung(usize),
     /// There are no controllers, or this one's number is not among them.
-    #[error("controller {me} of {controllers} cannot be")]
+    #[error("controller {index} of {controllers} cannot be")]
     NoSuchController {
         /// Its number.
-        me: u32,
+        index: u32,
         /// How many there are.
         controllers: u32,
     },
@@ -231,8 +231,9 @@
             }
             need("a class's worth and scale", positive(class.scale) && positive(class.worth))?;
         }
-        if self.me >= self.controllers {
-            return Err(SettingsError::NoSuchController { me: self.me, controllers: self.controllers });
+        let (index, controllers) = (self.controller_index, self.controllers);
+        if index >= controllers {
+            return Err(SettingsError::NoSuchController { index, controllers });
         }
         Ok(())
     }
@@ -243,13 +244,13 @@
     }
 
     /// Streams that a streamer runs at most; of an unknown kind, those of the smallest.
-    pub fn streams_of(&self, entry: &Entry) -> f64 {
-        let least = self.kinds_streams.iter().min().copied().unwrap_or(u32::MAX);
-        f64::from(entry.kind.and_then(|k| self.kinds_streams.get(k.0).copied()).unwrap_or(least))
+    pub fn max_streams(&self, entry: &Entry) -> f64 {
+        let least = self.max_streams_by_kind.iter().min().copied().unwrap_or(u32::MAX);
+        f64::from(entry.kind.and_then(|k| self.max_streams_by_kind.get(k.0).copied()).unwrap_or(least))
     }
 
     /// Whether a streamer holds the title of a request.
-    pub fn holds(&self, request: &Request, entry: &Entry) -> bool {
+    pub fn holds_title(&self, request: &Request, entry: &Entry) -> bool {
         let (cells, from) = (self.cells, request.start_cell % self.cells);
         (entry.cell % cells + cells - from) % cells < request.cells_in_row
     }
@@ -454,11 +455,11 @@
         report: LoadReport,
     },
     /// A connection to a streamer came up, or did not; no attempt need have been behind it.
-    Contact {
+    ConnectResult {
         /// Which streamer.
         streamer: StreamerId,
         /// Whether it came up.
-        up: bool,
+        connected: bool,
     },
     /// A timer has come due.
     Timer(TimerTag),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,19 +11,20 @@
 //! TitleId}; use stonewharf_core::{ViewerId, ZoneId};
 //!
 //! let settings = Settings {
-//!     me: 0, controllers: 1, tenants: vec![], over_share_worth: 1.0,
+//!     controller_index: 0, controllers: 1, tenants: vec![], over_share_worth: 1.0,
 //!     classes: vec![Class {
 //!         worth: 1.0, target_us: 1_000_000, effect: Effect::Idempotent, dedup_scope: DedupScope::All,
-//!         repeat_window_us: 0, scale: 1.0, lowest_rung: 0, highest_rung: 2, seats: 0, live: false,
+//!         repeat_window_us: 0, scale: 1.0, lowest_rung: 0, highest_rung: 2,
+//!         max_sessions_per_title: 0, live: false,
 //!     }],
 //!     ladder_kb: vec![300.0, 600.0, 1200.0], ladder_worth: vec![0.3, 0.6, 1.0],
 //!     fleet_kb: 10_000.0, rack_kb: 8_000.0, racks: 1, cells: 1, weight_kb: 10_000.0,
-//!     kinds_streams: vec![30], full_from: 1.0, shared_adds: 1.0, switch_s: 0.5,
+//!     max_streams_by_kind: vec![30], full_from: 1.0, shared_adds: 1.0, switch_s: 0.5,
 //!     seen_after_us: 1_000_000, reports_every_us: 0, reports: ReportMode::Silent, probes: false,
 //!     max_attempts: 4, max_hold_off_us: 2_000_000, cold_from: 0.5, warm_up_us: 10_000_000,
 //!     fall_multiple: 2.0, discovery_on_request: false, ask_within_us: 10_000_000, attempt_budget: None,
 //!     my_zone: ZoneId(0), cross_zone_price: 0.0, probe_price: 0.0, move_price: 0.2,
-//!     handshake_price: 0.0, keep_us: 9_000_000,
+//!     handshake_price: 0.0, connection_reuse_us: 9_000_000,
 //! };
 //! let mut controller = Controller::new(settings, 7, 0)?;
 //! let mut actions = Vec::new();
@@ -56,4 +57,4 @@
 pub use interface::*;
 pub use limits::{Limits, Terms};
 pub use rules::{Controller, erlang_payoff, split_slots};
-pub use settings::name_number;
+pub use settings::hash_name;
--- a/crates/core/src/rules/health.rs
+++ b/crates/core/src/rules/health.rs
@@ -36,13 +36,13 @@
     /// The turn of the common clock at a streamer, and whether it is this controller's. Each is for as many
     /// controllers as the pace allows; COLD_PACE leaves room for the one turn more that any second touches.
     pub(super) fn turn(&self, entry: &Entry) -> (u64, bool) {
-        let places = self.set.fall_multiple * self.set.streams_of(entry) * self.set.cold_from;
+        let places = self.set.fall_multiple * self.set.max_streams(entry) * self.set.cold_from;
         let pace = COLD_PACE * places / (self.set.warm_up_us as f64 / SECOND).max(1e-3);
         let group = (pace * TURN_S).max(1.0) as u64;
         // Neighbouring cells have their turns in turn, lest all holders of a title be another's at once.
         let turn = (self.now as f64 / SECOND * pace / group as f64) as u64 + u64::from(entry.cell);
         let groups = u64::from(self.set.controllers).div_ceil(group);
-        (turn, turn % groups == u64::from(self.set.me) / group)
+        (turn, turn % groups == u64::from(self.set.controller_index) / group)
     }
 
     /// Whether a cold streamer may have a set-up now: in an own turn that is not used yet.
@@ -138,10 +138,10 @@
         let Some(s) = self.streamers.get(&at) else { return false };
         let request = &session.request;
         let class = &self.set.classes[request.class.0];
-        let holds = self.set.holds(request, &s.entry) && s.entry.standing == Standing::Up;
+        let holds = self.set.holds_title(request, &s.entry) && s.entry.standing == Standing::Up;
         let open = session.streamer.is_none() && !session.answered && self.limits.open(request, at);
         let seat = self.seats.get(&(request.title, request.class)).copied().unwrap_or(0);
-        let seated = class.seats == 0 || seat < class.seats;
+        let seated = class.max_sessions_per_title == 0 || seat < class.max_sessions_per_title;
         let harmless = match (session.may_have_run, class.effect) {
             (None, _) | (_, Effect::Idempotent) => true,
             (Some(_), Effect::AtMostOnce) => false,
@@ -168,7 +168,7 @@
         let (Some(s), Some(session)) = (s, session) else { return };
         self.limits.sent(&session.request, at, session.rung);
         (s.cold_turn, s.trial_at) = (turn.or(s.cold_turn), s.trial_at.max(now + TRIAL_US));
-        s.linked_until = now + self.set.keep_us;
+        s.linked_until = now + self.set.connection_reuse_us;
         let class = &self.set.classes[session.request.class.0];
         let left = session.deadline.saturating_sub(now);
         // One that can be sent again gets its answer in time for a second attempt within the usual bound.
--- a/crates/core/src/rules/mod.rs
+++ b/crates/core/src/rules/mod.rs
@@ -197,7 +197,7 @@
             Event::ClientGone(request) => self.gone(request),
             Event::Probed { streamer, outcome, report } => self.probed(streamer, outcome, report, out),
             Event::Timer(tag) if tag == SWEEP => self.sweep(out),
-            Event::Timer(_) | Event::Contact { .. } => {}
+            Event::Timer(_) | Event::ConnectResult { .. } => {}
         }
     }
 
--- a/crates/core/src/rules/placement.rs
+++ b/crates/core/src/rules/placement.rs
@@ -39,7 +39,7 @@
         let Some(session) = self.sessions.get(&id) else { return };
         let class = session.request.class;
         let limit = if self.own_slot(session) { FULL } else { LENT };
-        let holders = self.streamers.values().filter(|s| self.set.holds(&session.request, &s.entry));
+        let holders = self.streamers.values().filter(|s| self.set.holds_title(&session.request, &s.entry));
         let holders: Vec<_> = holders.map(|s| s.entry.streamer).collect();
         let step = holders.len().div_ceil(LOOKED_AT).max(1); // of very many a part, another one each time
         let skip = if step > 1 { (self.chance() * step as f64) as usize } else { 0 };
--- a/crates/core/src/rules/pools.rs
+++ b/crates/core/src/rules/pools.rs
@@ -45,7 +45,7 @@
         let mut streams = 0.0;
         for s in self.streamers.values().filter(|s| s.entry.standing == Standing::Up) {
             *links.entry(self.set.rack_of(&s.entry)).or_default() += s.link.cap_kb;
-            streams += self.set.streams_of(&s.entry);
+            streams += self.set.max_streams(&s.entry);
         }
         let kb: f64 = links.iter().map(|(r, kb)| kb.min(self.racks.get(r).map_or(*kb, |g| g.cap_kb))).sum();
         // The split is the whole fleet's; a fraction of a slot is one with that chance, so none is lost.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,11 +1,11 @@
 //! The settings that a controller is started with, as JSON, and the names in them as the module's small
 //! numbers. Both front ends, the simulator's wire and the real director, read them here. No decisions.
-mod vocabulary;
+mod names;
 
 use crate::interface::*;
+pub use names::{NameRegistry, NamedEntry, NamedRequest, hash_name};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
-pub use vocabulary::{Listed, Vocabulary, Wanted, name_number};
 
 /// What can be wrong with the settings or with a name that should be among them.
 #[derive(Debug, thiserror::Error)]
@@ -40,17 +40,17 @@
 
 /// The settings as they come.
 #[derive(Clone, PartialEq, Deserialize)]
-pub struct Info {
+pub struct RawSettings {
     me: u32,
     peers_total: u32,
-    lanes: Vec<Lane>,
+    lanes: Vec<RawClass>,
     #[serde(default)]
-    accounts: Vec<Account>,
+    accounts: Vec<RawTenant>,
     over_share_worth: Option<f64>,
-    family_info: Family,
-    bounds: Bounds,
-    rules: Rules,
-    report: Report,
+    family_info: RawFleet,
+    bounds: RawLimits,
+    rules: RawRules,
+    report: RawReport,
     membership_mode: String,
     my_zone: String,
     #[serde(default)]
@@ -61,15 +61,15 @@
     deductions: BTreeMap<String, f64>,
 }
 
-impl Info {
+impl RawSettings {
     /// What is deducted for something.
-    fn price(&self, name: &str) -> f64 {
+    fn deduction(&self, name: &str) -> f64 {
         self.deductions.get(name).copied().unwrap_or(0.0)
     }
 }
 
 #[derive(Clone, PartialEq, Deserialize)]
-struct Lane {
+struct RawClass {
     name: String,
     importance: f64,
     target_us: f64,
@@ -80,13 +80,13 @@
 }
 
 #[derive(Clone, PartialEq, Deserialize)]
-struct Account {
+struct RawTenant {
     name: String,
     quota_per_s: f64,
 }
 
 #[derive(Clone, PartialEq, Deserialize)]
-struct Family {
+struct RawFleet {
     cells: u32,
     racks: u32,
     class_scale: Vec<f64>,
@@ -110,7 +110,7 @@
 }
 
 #[derive(Clone, PartialEq, Deserialize)]
-struct Bounds {
+struct RawLimits {
     max_attempts: u32,
     dial_timeout_us: Option<f64>,
     keepalive_us: Option<f64>,
@@ -123,7 +123,7 @@
 }
 
 #[derive(Clone, PartialEq, Deserialize)]
-struct Rules {
+struct RawRules {
     cold_from: f64,
     ramp_time_us: f64,
     fall_multiple: f64,
@@ -134,21 +134,21 @@
 }
 
 #[derive(Clone, PartialEq, Deserialize)]
-struct Report {
+struct RawReport {
     how: String,
 }
 
 /// Strings as small numbers, in order of first sight; no number is given out twice.
 #[derive(Default)]
-pub struct Names {
+pub struct Interner {
     by_name: HashMap<String, u32>,
     names: HashMap<u32, String>,
     next: u32,
 }
 
-impl Names {
+impl Interner {
     /// The number of a name.
-    pub fn id(&mut self, name: &str) -> u32 {
+    pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&id) = self.by_name.get(name) {
             return id;
         }
@@ -160,25 +160,25 @@
     }
 
     /// Drops a name that is not to come again; should it come, it is a new one.
-    pub fn forget(&mut self, id: u32) {
+    pub fn remove(&mut self, id: u32) {
         if let Some(name) = self.names.remove(&id) {
             self.by_name.remove(&name);
         }
     }
 
     /// The number of a name that was met before.
-    pub fn known(&self, name: &str) -> Option<u32> {
+    pub fn get(&self, name: &str) -> Option<u32> {
         self.by_name.get(name).copied()
     }
 
     /// The name of a number.
-    pub fn name(&self, id: u32) -> Option<&str> {
+    pub fn resolve(&self, id: u32) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 }
 
 /// A figure as a whole number: 0 where it is absent, negative or not a number.
-pub fn whole(value: Option<f64>) -> u64 {
+pub fn whole_or_zero(value: Option<f64>) -> u64 {
     value.unwrap_or(0.0).max(0.0) as u64
 }
 
@@ -192,118 +192,126 @@
     }
 }
 
-fn settings(info: &Info, zones: &mut Names) -> Result<Settings, NameError> {
-    let family = &info.family_info;
-    let top = family.ladder_kb.len().saturating_sub(1);
+fn parse_settings(raw: &RawSettings, zones: &mut Interner) -> Result<Settings, NameError> {
+    let fleet = &raw.family_info;
+    let top = fleet.ladder_kb.len().saturating_sub(1);
     let mut classes = Vec::new();
-    for (i, lane) in info.lanes.iter().enumerate() {
-        let effect = match lane.effect.as_str() {
+    for (i, class) in raw.lanes.iter().enumerate() {
+        let effect = match class.effect.as_str() {
             "idempotent" => Effect::Idempotent,
             "at_most_once" => Effect::AtMostOnce,
             "deduplicated" => Effect::Deduplicated,
             word => return Err(NameError::word("effect", word)),
         };
-        let dedup_scope = match lane.dedup_scope.as_deref() {
+        let dedup_scope = match class.dedup_scope.as_deref() {
             None | Some("all") => DedupScope::All,
             Some(word) if word.contains("cell") => DedupScope::Cell,
             Some(_) => DedupScope::Zone,
         };
         classes.push(Class {
-            worth: lane.importance,
-            target_us: whole(Some(lane.target_us)),
+            worth: class.importance,
+            target_us: whole_or_zero(Some(class.target_us)),
             effect,
             dedup_scope,
-            repeat_window_us: whole(lane.repeat_window_us),
-            scale: family.class_scale.get(i).copied().unwrap_or(1.0),
-            lowest_rung: family.lowest_rung.get(i).copied().unwrap_or(0),
-            highest_rung: family.highest_rung.get(i).copied().unwrap_or(top),
-            seats: family.seats.get(i).copied().unwrap_or(0),
-            live: family.is_live.get(i).copied().unwrap_or(false),
+            repeat_window_us: whole_or_zero(class.repeat_window_us),
+            scale: fleet.class_scale.get(i).copied().unwrap_or(1.0),
+            lowest_rung: fleet.lowest_rung.get(i).copied().unwrap_or(0),
+            highest_rung: fleet.highest_rung.get(i).copied().unwrap_or(top),
+            max_sessions_per_title: fleet.seats.get(i).copied().unwrap_or(0),
+            live: fleet.is_live.get(i).copied().unwrap_or(false),
         });
     }
-    let rules = &info.rules;
+    let rules = &raw.rules;
     Ok(Settings {
-        me: info.me,
-        controllers: info.peers_total,
+        controller_index: raw.me,
+        controllers: raw.peers_total,
         classes,
-        tenants: info.accounts.iter().map(|a| Tenant { quota_per_s: a.quota_per_s }).collect(),
-        over_share_worth: info.over_share_worth.unwrap_or(1.0),
-        ladder_kb: family.ladder_kb.clone(),
-        ladder_worth: family.ladder_worth.clone(),
-        fleet_kb: family.fleet_kb,
-        rack_kb: family.rack_kb,
-        racks: family.racks,
-        cells: family.cells,
-        weight_kb: family.weight_kb,
-        kinds_streams: family.kind_streams.clone(),
-        full_from: family.full_from.unwrap_or(0.0),
-        shared_adds: family.shared_adds.unwrap_or(1.0),
-        switch_s: family.switch_s,
-        seen_after_us: whole(family.seen_after_us),
-        reports_every_us: whole(family.reports_every_us),
-        reports: match info.report.how.as_str() {
+        tenants: raw.accounts.iter().map(|a| Tenant { quota_per_s: a.quota_per_s }).collect(),
+        over_share_worth: raw.over_share_worth.unwrap_or(1.0),
+        ladder_kb: fleet.ladder_kb.clone(),
+        ladder_worth: fleet.ladder_worth.clone(),
+        fleet_kb: fleet.fleet_kb,
+        rack_kb: fleet.rack_kb,
+        racks: fleet.racks,
+        cells: fleet.cells,
+        weight_kb: fleet.weight_kb,
+        max_streams_by_kind: fleet.kind_streams.clone(),
+        full_from: fleet.full_from.unwrap_or(0.0),
+        shared_adds: fleet.shared_adds.unwrap_or(1.0),
+        switch_s: fleet.switch_s,
+        seen_after_us: whole_or_zero(fleet.seen_after_us),
+        reports_every_us: whole_or_zero(fleet.reports_every_us),
+        reports: match raw.report.how.as_str() {
             "piggyback" => ReportMode::InAnswers,
             "pull" => ReportMode::ProbeOnly,
             _ => ReportMode::Silent,
         },
-        probes: info.bounds.probes,
-        max_attempts: info.bounds.max_attempts,
-        max_hold_off_us: if info.bounds.retry_after { whole(info.bounds.max_retry_after_us) } else { 0 },
+        probes: raw.bounds.probes,
+        max_attempts: raw.bounds.max_attempts,
+        max_hold_off_us: if raw.bounds.retry_after {
+            whole_or_zero(raw.bounds.max_retry_after_us)
+        } else {
+            0
+        },
         cold_from: rules.cold_from,
-        warm_up_us: whole(Some(rules.ramp_time_us)),
+        warm_up_us: whole_or_zero(Some(rules.ramp_time_us)),
         fall_multiple: rules.fall_multiple,
-        discovery_on_request: info.membership_mode == "on_request",
-        ask_within_us: whole(rules.ask_within_us),
+        discovery_on_request: raw.membership_mode == "on_request",
+        ask_within_us: whole_or_zero(rules.ask_within_us),
         attempt_budget: rules.budget_span_us.map(|span| crate::AttemptBudget {
             free: rules.free_resends.unwrap_or(0.0),
             per_request: rules.extra_per_request.unwrap_or(0.0),
-            span_us: whole(Some(span)),
-            delay_us: Carriage::of(info).dial_timeout_us,
+            span_us: whole_or_zero(Some(span)),
+            delay_us: TransportSettings::of(raw).dial_timeout_us,
         }),
-        my_zone: ZoneId(zones.id(&info.my_zone)),
-        cross_zone_price: info.price("cross_zone"),
-        probe_price: info.price("probe"),
-        handshake_price: info.price("handshake"),
-        keep_us: Carriage::of(info).keep_us(),
-        move_price: info.price("moves"),
+        my_zone: ZoneId(zones.intern(&raw.my_zone)),
+        cross_zone_price: raw.deduction("cross_zone"),
+        probe_price: raw.deduction("probe"),
+        handshake_price: raw.deduction("handshake"),
+        connection_reuse_us: TransportSettings::of(raw).connection_reuse_us(),
+        move_price: raw.deduction("moves"),
     })
 }
 
 /// What the settings say of connections to streamers and of the viewers' time; no matter of the decisions.
 #[derive(Clone, Debug)]
-pub struct Carriage {
+pub struct TransportSettings {
     /// A connection that is not up after this counts as never up.
     pub dial_timeout_us: Micros,
     /// Idle connections are closed after this.
-    pub idle_us: Micros,
+    pub idle_timeout_us: Micros,
     /// Set-ups that one connection carries at a time.
-    pub set_ups: usize,
+    pub set_ups_per_connection: usize,
     /// How long a viewer of each class waits that does not say so.
-    pub deadlines_us: Vec<Micros>,
+    pub default_deadlines_us: Vec<Micros>,
     /// Price of a new connection, as a part of a session's worth.
     pub handshake_price: f64,
 }
 
-impl Carriage {
-    fn of(info: &Info) -> Self {
-        let bounds = &info.bounds;
-        let or = |x: Option<f64>, usual: u64| x.map_or(usual, |x| whole(Some(x))).max(1);
-        Carriage {
-            dial_timeout_us: or(bounds.dial_timeout_us, 250_000),
-            idle_us: or(bounds.keepalive_us, 15_000_000),
-            set_ups: or(bounds.multiplex, 32) as usize,
-            deadlines_us: info.lanes.iter().map(|l| or(l.deadline_us, 3_000_000)).collect(),
-            handshake_price: info.price("handshake"),
+impl TransportSettings {
+    fn of(raw: &RawSettings) -> Self {
+        let limits = &raw.bounds;
+        let or_default = |x: Option<f64>, default: u64| x.map_or(default, |x| whole_or_zero(Some(x))).max(1);
+        TransportSettings {
+            dial_timeout_us: or_default(limits.dial_timeout_us, 250_000),
+            idle_timeout_us: or_default(limits.keepalive_us, 15_000_000),
+            set_ups_per_connection: or_default(limits.multiplex, 32) as usize,
+            default_deadlines_us: raw
+                .lanes
+                .iter()
+                .map(|class| or_default(class.deadline_us, 3_000_000))
+                .collect(),
+            handshake_price: raw.deduction("handshake"),
         }
     }
 
     /// For so long after its last use a connection takes set-ups, so that none crosses the streamer's close.
-    pub fn keep_us(&self) -> Micros {
-        self.idle_us / 5 * 3
+    pub fn connection_reuse_us(&self) -> Micros {
+        self.idle_timeout_us / 5 * 3
     }
 
     /// The longest time that a viewer of any class waits.
-    pub fn longest_us(&self) -> Micros {
-        self.deadlines_us.iter().max().copied().unwrap_or(3_000_000)
+    pub fn longest_deadline_us(&self) -> Micros {
+        self.default_deadlines_us.iter().max().copied().unwrap_or(3_000_000)
     }
 }
--- a/crates/core/src/settings/vocabulary.rs
+++ b/crates/core/src/settings/names.rs
@@ -1,10 +1,10 @@
 //! The names that one controller has heard, as the module's small numbers.
-use super::{Carriage, Info, NameError, Names, settings};
+use super::{Interner, NameError, RawSettings, TransportSettings, parse_settings};
 use crate::interface::*;
 
 /// A request for a session, in the words of a front end.
 #[derive(Default)]
-pub struct Wanted<'a> {
+pub struct NamedRequest<'a> {
     /// Its number.
     pub id: u64,
     /// Its class.
@@ -28,7 +28,7 @@
 }
 
 /// A line of the server list, in the words of a front end.
-pub struct Listed<'a> {
+pub struct NamedEntry<'a> {
     /// The streamer.
     pub streamer: &'a str,
     /// Its zone.
@@ -46,11 +46,11 @@
 }
 
 /// The names that one controller has heard, as the module's small numbers.
-pub struct Vocabulary {
+pub struct NameRegistry {
     /// Streamers, by their ids.
-    pub streamers: Names,
-    zones: Names,
-    halls: Vec<String>,
+    pub streamers: Interner,
+    zones: Interner,
+    zone_names: Vec<String>,
     classes: Vec<String>,
     tenants: Vec<String>,
     kinds: Vec<String>,
@@ -58,32 +58,32 @@
     rungs: usize,
 }
 
-impl Vocabulary {
+impl NameRegistry {
     /// Reads the settings: the module's, the vocabulary that they begin, and what they say of connections.
-    pub fn read(info: &Info) -> Result<(Settings, Vocabulary, Carriage), NameError> {
-        let mut zones = Names::default();
-        let settings = settings(info, &mut zones)?;
+    pub fn read(raw: &RawSettings) -> Result<(Settings, NameRegistry, TransportSettings), NameError> {
+        let mut zones = Interner::default();
+        let settings = parse_settings(raw, &mut zones)?;
         settings.check()?;
-        let vocabulary = Vocabulary {
-            streamers: Names::default(),
+        let registry = NameRegistry {
+            streamers: Interner::default(),
             zones,
-            halls: info.dcs.clone(),
-            classes: info.lanes.iter().map(|l| l.name.clone()).collect(),
-            tenants: info.accounts.iter().map(|a| a.name.clone()).collect(),
-            kinds: info.kinds.clone(),
-            cells: info.family_info.cells,
-            rungs: info.family_info.ladder_kb.len(),
+            zone_names: raw.dcs.clone(),
+            classes: raw.lanes.iter().map(|l| l.name.clone()).collect(),
+            tenants: raw.accounts.iter().map(|a| a.name.clone()).collect(),
+            kinds: raw.kinds.clone(),
+            cells: raw.family_info.cells,
+            rungs: raw.family_info.ladder_kb.len(),
         };
-        Ok((settings, vocabulary, Carriage::of(info)))
+        Ok((settings, registry, TransportSettings::of(raw)))
     }
 
     /// The first kind of names in which the settings of another vocabulary differ from this one's; `None`
     /// where both are of one deployment.
-    pub fn differs_in(&self, other: &Vocabulary) -> Option<&'static str> {
+    pub fn first_difference(&self, other: &NameRegistry) -> Option<&'static str> {
         let lists = [
             ("classes", &self.classes, &other.classes),
             ("tenants", &self.tenants, &other.tenants),
-            ("zones", &self.halls, &other.halls),
+            ("zones", &self.zone_names, &other.zone_names),
             ("kinds of streamers", &self.kinds, &other.kinds),
         ];
         lists.into_iter().find(|(_, own, others)| own != others).map(|(what, ..)| what)
@@ -96,17 +96,17 @@
 
     /// The names of all zones, where the settings have them; else none.
     pub fn zones(&self) -> &[String] {
-        &self.halls
+        &self.zone_names
     }
 
     /// The number of a zone.
     pub fn zone(&mut self, name: &str) -> ZoneId {
-        ZoneId(self.zones.id(name))
+        ZoneId(self.zones.intern(name))
     }
 
     /// The name of a zone that was met before.
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
-        self.zones.name(zone.0)
+        self.zones.resolve(zone.0)
     }
 
     /// The number of a class.
@@ -116,7 +116,7 @@
     }
 
     /// Whether the figures of a request are within what the settings name.
-    pub fn in_range(&self, wanted: &Wanted<'_>) -> Result<(), NameError> {
+    pub fn check_ranges(&self, wanted: &NamedRequest<'_>) -> Result<(), NameError> {
         let within = |what, figure: u64, ok: bool| {
             if ok { Ok(()) } else { Err(NameError::OutOfRange { what, figure }) }
         };
@@ -128,13 +128,13 @@
     }
 
     /// A request in the module's terms.
-    pub fn request(&mut self, wanted: &Wanted<'_>) -> Result<Request, NameError> {
+    pub fn request(&mut self, wanted: &NamedRequest<'_>) -> Result<Request, NameError> {
         Ok(Request {
             id: RequestId(wanted.id),
             class: self.class(wanted.class)?,
             tenant: wanted.tenant.and_then(|t| self.tenants.iter().position(|n| n == t)).map(TenantId),
-            title: TitleId(name_number(wanted.title)),
-            viewer: ViewerId(name_number(wanted.viewer)),
+            title: TitleId(hash_name(wanted.title)),
+            viewer: ViewerId(hash_name(wanted.viewer)),
             start_cell: wanted.start_cell,
             cells_in_row: wanted.cells_in_row,
             max_rung: wanted.max_rung.unwrap_or(usize::MAX),
@@ -145,10 +145,10 @@
     }
 
     /// A line of the server list in the module's terms.
-    pub fn entry(&mut self, line: &Listed<'_>) -> Entry {
+    pub fn entry(&mut self, line: &NamedEntry<'_>) -> Entry {
         Entry {
-            streamer: StreamerId(self.streamers.id(line.streamer)),
-            zone: ZoneId(self.zones.id(line.zone)),
+            streamer: StreamerId(self.streamers.intern(line.streamer)),
+            zone: ZoneId(self.zones.intern(line.zone)),
             kind: self.kinds.iter().position(|k| k == line.kind).map(KindId),
             cell: line.cell,
             standing: line.standing,
@@ -160,6 +160,6 @@
 
 /// The number of a viewer or title: a hash (FNV-1a), since they come and go without end and a table of them
 /// would grow.
-pub fn name_number(name: &str) -> u32 {
+pub fn hash_name(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
--- a/crates/halls/src/limits.rs
+++ b/crates/halls/src/limits.rs
@@ -346,7 +346,7 @@
                 self.held.insert(request.id, (*at, request.class));
                 None
             }
-            Event::Contact { streamer, up } => {
+            Event::ConnectResult { streamer, connected: up } => {
                 Some((*streamer, if *up { Sign::Reachable } else { Sign::Unreachable }))
             }
             Event::Started { streamer, .. } => Some((*streamer, Sign::Reachable)),
--- a/crates/halls/tests/properties.rs
+++ b/crates/halls/tests/properties.rs
@@ -26,11 +26,11 @@
         scale: 1.0,
         lowest_rung,
         highest_rung: 2,
-        seats: 0,
+        max_sessions_per_title: 0,
         live: false,
     };
     Settings {
-        me,
+        controller_index: me,
         controllers,
         classes: vec![class(2.0, Effect::AtMostOnce, 1), class(1.0, Effect::Idempotent, 0)],
         over_share_worth: 1.0,
@@ -41,7 +41,7 @@
         racks: 2,
         cells: 2,
         weight_kb: 6_000.0,
-        kinds_streams: vec![STREAMS],
+        max_streams_by_kind: vec![STREAMS],
         full_from: 1.2,
         shared_adds: 1.0,
         switch_s: 0.5,
@@ -53,7 +53,7 @@
         fall_multiple: 3.0,
         ask_within_us: 10 * S,
         my_zone: ZoneId(zone),
-        keep_us: 9 * S,
+        connection_reuse_us: 9 * S,
         ..Settings::default()
     }
 }
--- a/crates/halls/tests/terms.rs
+++ b/crates/halls/tests/terms.rs
@@ -17,7 +17,7 @@
         scale: 1.0,
         lowest_rung,
         highest_rung: 1,
-        seats: 0,
+        max_sessions_per_title: 0,
         live: false,
     };
     let set = Settings {
@@ -55,7 +55,7 @@
 }
 
 fn contact(halls: &mut Halls, now: Micros, streamer: u32, up: bool) -> Vec<String> {
-    tell(halls, now, Event::Contact { streamer: StreamerId(streamer), up })
+    tell(halls, now, Event::ConnectResult { streamer: StreamerId(streamer), connected: up })
 }
 
 fn lose(halls: &mut Halls, now: Micros, hall: u32) {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -84,11 +84,11 @@
             scale: 1.0,
             lowest_rung,
             highest_rung: 3,
-            seats: 0,
+            max_sessions_per_title: 0,
             live: lowest_rung == 0,
         };
         let settings = Settings {
-            me: 0,
+            controller_index: 0,
             controllers: scenario.directors,
             classes: vec![class(2.0, Effect::AtMostOnce, 1), class(1.0, Effect::Idempotent, 0)],
             tenants: Vec::new(),
@@ -100,7 +100,7 @@
             racks: count as u32,
             cells: count as u32,
             weight_kb: LINK_KB,
-            kinds_streams: vec![STREAMS],
+            max_streams_by_kind: vec![STREAMS],
             full_from: 1.2,
             shared_adds: 1.0,
             switch_s: 0.6,
@@ -120,7 +120,7 @@
             cross_zone_price: 0.02,
             probe_price: 0.01,
             handshake_price: 0.0,
-            keep_us: 9 * SECOND,
+            connection_reuse_us: 9 * SECOND,
             move_price: 0.14,
         };
         World { streamers, racks, settings }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -9,7 +9,7 @@
 use crate::net::logging::{self, Format};
 use crate::net::{Node, NodeError, Signals, operator};
 use crate::platform::config::Config;
-use crate::settings::Vocabulary;
+use crate::settings::NameRegistry;
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -206,7 +206,7 @@
     let given = files.config.is_some() || files.operator.is_none();
     let own = if given {
         let config = config(files.config.as_deref())?;
-        let (settings, names, _) = Vocabulary::read(&config.settings)?;
+        let (settings, names, _) = NameRegistry::read(&config.settings)?;
         let seed = config.seed()?;
         crate::Controller::new(settings, seed, 0)?;
         out.push_str(&format!("# director {} listens on {}\n", config.name, config.listen));
--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -18,7 +18,7 @@
 use crate::director::{Counters, Director, Duty, Figures};
 use crate::interface::{Micros, Settings};
 use crate::platform::config::Config;
-use crate::settings::Vocabulary;
+use crate::settings::NameRegistry;
 use slog::{Logger, info};
 use std::path::{Path, PathBuf};
 use stonewharf_continuity::{ContinuitySettings, Hand, SharedHand};
@@ -31,7 +31,7 @@
 const OWN_DESCRIPTORS: usize = 24;
 
 /// Reads the operator file; with the names of a deployment, for that one.
-pub fn operator(file: &Path, names: Option<&Vocabulary>) -> Result<Operator, NodeError> {
+pub fn operator(file: &Path, names: Option<&NameRegistry>) -> Result<Operator, NodeError> {
     let name = file.display().to_string();
     let bytes = std::fs::read(file).map_err(|why| NodeError::OperatorUnread(name.clone(), why))?;
     let known = names.map(|n| Known { classes: n.classes().to_vec(), halls: n.zones().to_vec() });
@@ -72,7 +72,7 @@
 /// This director's part in sessions that outlive their director, where that is on.
 fn lasting(
     settings: &Settings,
-    names: &Vocabulary,
+    names: &NameRegistry,
     fleet: Option<&Fleet>,
     set: Option<ContinuitySettings>,
     now: Micros,
@@ -109,7 +109,7 @@
     ) -> Result<Self, NodeError> {
         let clock = Clock::start();
         let now = clock.now();
-        let (settings, mut names, carriage) = Vocabulary::read(&config.settings)?;
+        let (settings, mut names, carriage) = NameRegistry::read(&config.settings)?;
         let mut fleet = None;
         let (mut agrees, mut outlives) = (None, None);
         let operator = match file {
@@ -193,7 +193,7 @@
         };
         let viewers = Viewers::on(&mut shared, listener, sockets / 2)
             .map_err(|why| NodeError::Listen(config.listen, why))?;
-        let duty = Duty::new(grace_us(carriage.longest_us()), config.inherited.is_some());
+        let duty = Duty::new(grace_us(carriage.longest_deadline_us()), config.inherited.is_some());
         let streamers = Streamers::new(carriage.clone(), sockets / 2);
         let bulletin = Bulletin::new(config.bulletin, config.known.no);
         let mut node = Node {
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -8,7 +8,7 @@
 use crate::director::{Input, Over, ViewerLink};
 use crate::interface::{LoadReport, Micros, RequestId, StreamerId};
 use crate::platform::rtsp;
-use crate::settings::Wanted;
+use crate::settings::NamedRequest;
 use slog::{debug, info, warn};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -149,7 +149,7 @@
         let Some(hand) = self.hand() else { return };
         let mut hand = hand.0.borrow_mut();
         for (streamer, anew) in listed {
-            let Some(name) = self.names.streamers.name(streamer.0) else { continue };
+            let Some(name) = self.names.streamers.resolve(streamer.0) else { continue };
             hand.named([(*streamer, name.to_owned())]);
             if *anew {
                 hand.restarted(now, name);
@@ -213,7 +213,7 @@
             match deed {
                 Deed::Adopt(records) => records.into_iter().for_each(|(id, record)| self.adopt(id, &record)),
                 Deed::Settle(id, streamer) => {
-                    if let Some(at) = self.names.streamers.known(&streamer).map(StreamerId) {
+                    if let Some(at) = self.names.streamers.get(&streamer).map(StreamerId) {
                         let (id, word) = (RequestId(id), rtsp::release(RequestId(id)));
                         self.parts.streamers.word(&mut self.shared, at, word, Some(id));
                     }
@@ -241,7 +241,7 @@
     /// An inherited session enters the core as what is handed over at a start.
     fn adopt(&mut self, id: u64, record: &Record) {
         let stub = &record.stub;
-        let wanted = Wanted {
+        let wanted = NamedRequest {
             id,
             class: &stub.class,
             tenant: None,
@@ -253,9 +253,9 @@
             left_us: 0,
             returned: false,
         };
-        match self.names.in_range(&wanted).and_then(|()| self.names.request(&wanted)) {
+        match self.names.check_ranges(&wanted).and_then(|()| self.names.request(&wanted)) {
             Ok(request) => {
-                let streamer = StreamerId(self.names.streamers.known(&record.streamer).unwrap_or(u32::MAX));
+                let streamer = StreamerId(self.names.streamers.get(&record.streamer).unwrap_or(u32::MAX));
                 self.director.inherit(vec![(request.id, usize::from(record.rung))]);
                 self.shared.inputs.push(Input::Playing { link: NOBODY, request, streamer });
             }
@@ -268,7 +268,7 @@
 
     /// Another director heard something on a session of this one.
     fn strayed(&mut self, session: RequestId, streamer: &str, what: StrayKind) {
-        let Some(streamer) = self.names.streamers.known(streamer).map(StreamerId) else { return };
+        let Some(streamer) = self.names.streamers.get(streamer).map(StreamerId) else { return };
         let why = match what {
             StrayKind::Left => return self.shared.inputs.push(Input::ViewerLeft(NOBODY, session)),
             StrayKind::Ended => Over::Ended,
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Entry, ListScope, RequestId, Standing, StreamerId};
 use crate::platform::bulletin::{Members, Notice};
 use crate::platform::viewer::{self, FromViewer, SetUp};
-use crate::settings::Wanted;
+use crate::settings::NamedRequest;
 use slog::{debug, warn};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,10 +38,10 @@
     fn wanted(&mut self, link: ViewerLink, set_up: SetUp) {
         let id = RequestId(set_up.session);
         let class = self.names.class(&set_up.class);
-        let usual = class.ok().and_then(|c| self.carriage.deadlines_us.get(c.0)).copied();
-        let most = self.carriage.longest_us().saturating_mul(WAIT_MOST);
+        let usual = class.ok().and_then(|c| self.carriage.default_deadlines_us.get(c.0)).copied();
+        let most = self.carriage.longest_deadline_us().saturating_mul(WAIT_MOST);
         let wait_us = set_up.wait_ms.map(|ms| ms.saturating_mul(1000)).or(usual).unwrap_or(0).min(most);
-        let wanted = Wanted {
+        let wanted = NamedRequest {
             id: set_up.session,
             class: &set_up.class,
             tenant: None,
@@ -53,7 +53,7 @@
             left_us: wait_us,
             returned: set_up.again || set_up.retry,
         };
-        let request = match self.names.in_range(&wanted).and_then(|()| self.names.request(&wanted)) {
+        let request = match self.names.check_ranges(&wanted).and_then(|()| self.names.request(&wanted)) {
             Ok(request) => request,
             Err(why) => {
                 debug!(self.shared.log, "a set-up can't be used: {why}");
@@ -76,7 +76,7 @@
         self.shared.inputs.push(match &set_up.at {
             Some(at) => {
                 self.parts.viewers.brought(link);
-                let streamer = StreamerId(self.names.streamers.known(at).unwrap_or(u32::MAX));
+                let streamer = StreamerId(self.names.streamers.get(at).unwrap_or(u32::MAX));
                 Input::Playing { link, request, streamer }
             }
             None => {
@@ -108,7 +108,7 @@
         }
         self.parts.streamers.list(&mut self.shared, scope, &entries);
         for (entry, _) in entries.iter().filter(|e| e.0.standing == Standing::Gone) {
-            self.names.streamers.forget(entry.streamer.0);
+            self.names.streamers.remove(entry.streamer.0);
         }
         let entries = entries.into_iter().map(|e| e.0).collect();
         self.shared.inputs.push(Input::List { scope, entries });
@@ -117,7 +117,7 @@
     /// Lets the agreed drains see the list's news first: they may only narrow it.
     fn listed(&self, drains: &SharedDrains, scope: ListScope, entries: &mut [(Entry, SocketAddr)]) {
         let name = |e: &Entry| {
-            let name = self.names.streamers.name(e.streamer.0).unwrap_or_default().to_owned();
+            let name = self.names.streamers.resolve(e.streamer.0).unwrap_or_default().to_owned();
             (name, self.names.zone_name(e.zone).unwrap_or_default().to_owned())
         };
         let named: Vec<(String, String)> = entries.iter().map(|(e, _)| name(e)).collect();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::director::{Counters, Deed, Director, Duty, Figures, Input, Over};
 use crate::platform::{rtsp, viewer};
-use crate::settings::{Carriage, Info, Vocabulary};
+use crate::settings::{NameRegistry, RawSettings, TransportSettings};
 use agreed::Agreed;
 pub use agreed::{LogSeen, Request, Told};
 pub use begin::{digest, operator};
@@ -54,8 +54,8 @@
 pub struct Node {
     clock: Clock,
     director: Director,
-    names: Vocabulary,
-    carriage: Carriage,
+    names: NameRegistry,
+    carriage: TransportSettings,
     shared: Shared,
     signals: Signals,
     parts: Parts,
@@ -64,7 +64,7 @@
     /// The configuration's file, where it came from one, and what is in force of it.
     file: Option<PathBuf>,
     name: String,
-    info: Info,
+    info: RawSettings,
     /// The operator file and what it set, where one is used.
     operator: Option<(PathBuf, SharedHalls)>,
     told_to_end: bool,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -2,7 +2,7 @@
 use super::{Node, NodeError, begin, digest, operator};
 use crate::director::Director;
 use crate::platform::config::{Config, ConfigError};
-use crate::settings::Vocabulary;
+use crate::settings::NameRegistry;
 use slog::{info, warn};
 use stonewharf_operator::Operator;
 
@@ -28,8 +28,8 @@
         if config.name != self.name {
             return Err(NodeError::OtherDirector(config.name));
         }
-        let (settings, names, _) = Vocabulary::read(&config.settings)?;
-        if let Some(what) = self.names.differs_in(&names) {
+        let (settings, names, _) = NameRegistry::read(&config.settings)?;
+        if let Some(what) = self.names.first_difference(&names) {
             return Err(NodeError::OtherDeployment(what));
         }
         Director::new(settings, config.seed()?, self.shared.now)?;
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -10,7 +10,7 @@
 use crate::director::{Attempt, Director, Input, SetUp, Unsent};
 use crate::interface::{Entry, ListScope, LoadReport, Micros, Outcome, RequestId, Standing, StreamerId};
 use crate::platform::rtsp;
-use crate::settings::Carriage;
+use crate::settings::TransportSettings;
 use link::{Link, Saying, Writing};
 use slog::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -61,14 +61,14 @@
     links: BTreeMap<Token, Link>,
     /// Connections that became ready to be written to in this turn.
     writable: BTreeSet<Token>,
-    carriage: Carriage,
+    carriage: TransportSettings,
     most: usize,
     last_test: u64,
 }
 
 impl Streamers {
     /// None yet; so many connections at most.
-    pub fn new(carriage: Carriage, most: usize) -> Self {
+    pub fn new(carriage: TransportSettings, most: usize) -> Self {
         let (pools, links, writable) = Default::default();
         Streamers { pools, links, writable, carriage, most, last_test: 0 }
     }
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -25,10 +25,10 @@
         // Where new connections have a price, one is used as long as nothing speaks against its streamer.
         let trusted = self.carriage.handshake_price > 0.0 && pool.failing_since.is_none();
         let fits = |l: &&Link| {
-            let lately = l.used_at.saturating_add(self.carriage.keep_us()) > shared.now;
+            let lately = l.used_at.saturating_add(self.carriage.connection_reuse_us()) > shared.now;
             let heard = trusted || l.heard_at.saturating_add(HEARD_US) > shared.now;
             let apart = session.is_none_or(|s| !l.given_up.contains(&s) && !l.open.contains_key(&s));
-            let room = l.open.len() < self.carriage.set_ups
+            let room = l.open.len() < self.carriage.set_ups_per_connection
                 && l.queue.len() < QUEUE_MOST
                 && l.given_up.len() < GIVEN_UP_MOST;
             apart && room && (!l.up || (lately && heard))
@@ -145,7 +145,7 @@
                 && l.tests.is_empty()
                 && l.queue.is_empty()
                 && l.line.unwritten() == 0
-                && l.used_at.saturating_add(self.carriage.idle_us / 5 * 4) <= now
+                && l.used_at.saturating_add(self.carriage.idle_timeout_us / 5 * 4) <= now
                 && standing_at(l.streamer) == 0
         };
         let idle: Vec<Token> = self.links.values().filter(idle).map(|l| l.line.token()).collect();
--- a/src/platform/bulletin.rs
+++ b/src/platform/bulletin.rs
@@ -1,6 +1,6 @@
 //! The lines of the bulletin: events of the list of streamers, and the last number alone every second.
 use crate::interface::{Entry, ListScope, Micros, Standing};
-use crate::settings::{Listed, Vocabulary};
+use crate::settings::{NameRegistry, NamedEntry};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -111,7 +111,7 @@
     }
 
     /// Its entries. One that can't be used takes none of the others along.
-    pub fn members(&self, names: &mut Vocabulary) -> Members {
+    pub fn members(&self, names: &mut NameRegistry) -> Members {
         let mut members = Members::default();
         for m in &self.members {
             let Ok(address) = m.host_port.parse() else {
@@ -132,7 +132,7 @@
             let started_at: Micros = m.up_since_ms.saturating_mul(1000);
             let (weight, cell) = (m.size, m.cell);
             let (zone, kind) = (m.locality.as_str(), m.flavor.as_str());
-            let listed = Listed { streamer: &m.id, zone, kind, cell, standing, weight, started_at };
+            let listed = NamedEntry { streamer: &m.id, zone, kind, cell, standing, weight, started_at };
             members.entries.push((names.entry(&listed), address));
         }
         members
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,6 +1,6 @@
 //! What a director is told at its start: the JSON file that `LB_CONFIG` names.
 use super::bulletin::Notice;
-use crate::settings::{Info, NameError};
+use crate::settings::{NameError, RawSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -73,7 +73,7 @@
     #[serde(default)]
     pub known: Known,
     /// The module's settings.
-    pub settings: Info,
+    pub settings: RawSettings,
     /// The file it was read from, where it was.
     #[serde(skip)]
     file: Option<PathBuf>,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,9 @@
 //! The simulator's JSON on one side, the module's types on the other. Translates; decides nothing.
 use crate::Controller;
 use crate::interface::*;
-use crate::settings::{Info, Listed, NameError, Names, Vocabulary, Wanted, load_report, whole};
+use crate::settings::{
+    Interner, NameError, NameRegistry, NamedEntry, NamedRequest, RawSettings, load_report, whole_or_zero,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -67,7 +69,7 @@
     Configure {
         controller_id: u64,
         nonce64: u64,
-        info: Box<Info>,
+        info: Box<RawSettings>,
     },
     Exit {
         controller_id: u64,
@@ -148,7 +150,7 @@
 
 struct Instance {
     controller: Controller,
-    names: Vocabulary,
+    names: NameRegistry,
 }
 
 /// All instances of one process. They share nothing but the numbered lists of the wire.
@@ -178,16 +180,16 @@
 
 impl Instance {
     fn request(&mut self, ask: &Ask) -> Result<Request, NameError> {
-        self.names.request(&Wanted {
+        self.names.request(&NamedRequest {
             id: ask.request_id,
             class: &ask.band,
             tenant: ask.billing.as_ref().and_then(Value::as_str),
             title: ask.item.as_deref().unwrap_or(""),
             viewer: ask.name_key.as_deref().unwrap_or(""),
-            start_cell: whole(ask.start_cell) as u32,
-            cells_in_row: whole(ask.cells_in_row) as u32,
+            start_cell: whole_or_zero(ask.start_cell) as u32,
+            cells_in_row: whole_or_zero(ask.cells_in_row) as u32,
             max_rung: ask.max_rung.map(|r| r.max(0.0) as usize),
-            left_us: whole(ask.left_us),
+            left_us: whole_or_zero(ask.left_us),
             returned: ask.returned.unwrap_or(false) || ask.again_by_client.unwrap_or(false),
         })
     }
@@ -199,19 +201,19 @@
             "D" => Standing::Gone,
             word => return Err(NameError::word("standing", word)),
         };
-        Ok(self.names.entry(&Listed {
+        Ok(self.names.entry(&NamedEntry {
             streamer: &line.streamer,
             zone: &line.az,
             kind: &line.model,
-            cell: whole(Some(line.cell)) as u32,
+            cell: whole_or_zero(Some(line.cell)) as u32,
             standing,
             weight: line.scale,
-            started_at: whole(line.started_at_us),
+            started_at: whole_or_zero(line.started_at_us),
         }))
     }
 
-    fn say<'a>(streamers: &'a Names, me: u64, action: &'a Action) -> Out<'a> {
-        let name = |s: &StreamerId| streamers.name(s.0).unwrap_or("");
+    fn say<'a>(streamers: &'a Interner, me: u64, action: &'a Action) -> Out<'a> {
+        let name = |s: &StreamerId| streamers.resolve(s.0).unwrap_or("");
         match action {
             Action::Send { request, streamer, try_for_us } => Out::Send {
                 controller_id: me,
@@ -281,7 +283,7 @@
         };
         match event {
             In::Configure { nonce64, info, .. } => {
-                let (settings, names, _) = Vocabulary::read(&info)?;
+                let (settings, names, _) = NameRegistry::read(&info)?;
                 let instance = Instance { controller: Controller::new(settings, nonce64, now)?, names };
                 self.instances.insert(me, instance);
                 return Ok(None);
@@ -318,17 +320,17 @@
             }
             In::Inbound(ask) => Event::Inbound(instance.request(&ask)?),
             In::Preexisting(ask) => {
-                let streamer = instance.names.streamers.id(ask.streamer.as_deref().unwrap_or(""));
+                let streamer = instance.names.streamers.intern(ask.streamer.as_deref().unwrap_or(""));
                 Event::Preexisting(instance.request(&ask)?, StreamerId(streamer))
             }
             In::Started { request_id, streamer, latency_us, .. } => Event::Started {
                 request: RequestId(request_id),
-                streamer: StreamerId(instance.names.streamers.id(&streamer)),
+                streamer: StreamerId(instance.names.streamers.intern(&streamer)),
                 latency_us,
             },
             In::UpdateOf { request_id, streamer, sort, amount, .. } => Event::Note {
                 request: RequestId(request_id),
-                streamer: StreamerId(instance.names.streamers.id(&streamer)),
+                streamer: StreamerId(instance.names.streamers.intern(&streamer)),
                 kind: match sort {
                     1 => NoteKind::Delivered,
                     2 => NoteKind::Rung,
@@ -341,14 +343,14 @@
             In::Result { request_id, go, streamer, code, last, pressure: load, .. } => Event::Ended {
                 request: RequestId(request_id),
                 attempt: go,
-                streamer: StreamerId(instance.names.streamers.id(&streamer)),
+                streamer: StreamerId(instance.names.streamers.intern(&streamer)),
                 outcome: outcome(code)?,
                 last,
                 report: pressure(load),
             },
             In::ClientGone { request_id, .. } => Event::ClientGone(RequestId(request_id)),
             In::PingResult { streamer, code, pressure: load, .. } => Event::Probed {
-                streamer: StreamerId(instance.names.streamers.id(&streamer)),
+                streamer: StreamerId(instance.names.streamers.intern(&streamer)),
                 outcome: outcome(code)?,
                 report: pressure(load),
             },
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -8,7 +8,7 @@
     let controllers = set.controllers;
     let mut fleet: Vec<Controller> = (0..controllers)
         .map(|me| {
-            let mut c = Controller::new(Settings { me, ..set.clone() }, 1, 0).unwrap();
+            let mut c = Controller::new(Settings { controller_index: me, ..set.clone() }, 1, 0).unwrap();
             make(&mut c);
             c
         })
@@ -58,7 +58,7 @@
 #[test]
 fn the_pace_of_a_cold_streamer_is_used_by_many_controllers_with_little_each() {
     // 200 streams over 10 s of warm-up, half of it at first, twice that at most: 20 in any second.
-    let set = Settings { controllers: 100, kinds_streams: vec![200], ..settings(idempotent()) };
+    let set = Settings { controllers: 100, max_streams_by_kind: vec![200], ..settings(idempotent()) };
     assert_paced(&cold_sends(&set, 20_000, told_cold), 20);
     let few = cold_sends(&set, 700_000, told_cold).iter().filter(|t| **t < 108 * S).count();
     assert!(few >= 24, "{few} set-ups in 8 s of 1,100 requests");
@@ -71,7 +71,14 @@
 fn after_an_own_restart_the_list_alone_tells_who_is_cold() {
     // A fleet a thousand times the usual one, so that 300 controllers' guesses by own sessions leave room.
     let (fleet_kb, rack_kb, weight_kb) = (12e6, 12e6, 3e6);
-    let set = Settings { controllers: 300, me: 7, fleet_kb, rack_kb, weight_kb, ..settings(idempotent()) };
+    let set = Settings {
+        controllers: 300,
+        controller_index: 7,
+        fleet_kb,
+        rack_kb,
+        weight_kb,
+        ..settings(idempotent())
+    };
     let mut c = Controller::new(set, 1, 99 * S).unwrap();
     let started = Entry { started_at: Some(98 * S), ..entry(3, 0) };
     let entries = vec![entry(0, 0), entry(1, 0), entry(2, 0), started];
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,14 +16,14 @@
         scale: 1.0,
         lowest_rung: 0,
         highest_rung: 3,
-        seats: 0,
+        max_sessions_per_title: 0,
         live: false,
     }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        me: 0,
+        controller_index: 0,
         controllers: 1,
         classes,
         tenants: vec![],
@@ -35,7 +35,7 @@
         racks: 1,
         cells: 4,
         weight_kb: 3_000.0,
-        kinds_streams: vec![40],
+        max_streams_by_kind: vec![40],
         full_from: 1.0,
         shared_adds: 1.0,
         switch_s: 0.5,
@@ -55,7 +55,7 @@
         cross_zone_price: 0.0,
         probe_price: 0.0,
         handshake_price: 0.0,
-        keep_us: 9 * S,
+        connection_reuse_us: 9 * S,
         move_price: 0.2,
     }
 }
@@ -176,13 +176,21 @@
 pub fn one_of(me: u32, controllers: u32) -> Settings {
     let weight_kb = 400.0 * f64::from(controllers);
     let (fleet_kb, rack_kb) = (4.0 * weight_kb, 4.0 * weight_kb);
-    let kinds_streams = vec![10 * controllers];
-    Settings { me, controllers, weight_kb, fleet_kb, rack_kb, kinds_streams, ..settings(idempotent()) }
+    let max_streams_by_kind = vec![10 * controllers];
+    Settings {
+        controller_index: me,
+        controllers,
+        weight_kb,
+        fleet_kb,
+        rack_kb,
+        max_streams_by_kind,
+        ..settings(idempotent())
+    }
 }
 
 /// A controller that plays one session, handed over at `rung` at streamer 0.
 pub fn with_session(set: Settings, rung: f64) -> Bench {
-    let seed = u64::from(set.me) + 7;
+    let seed = u64::from(set.controller_index) + 7;
     let (mut b, _) = Bench::at_start(set, seed);
     b.give(Event::Preexisting(request(1, 0), StreamerId(0)));
     b.note(1, StreamerId(0), NoteKind::Rung, rung);
@@ -203,9 +211,9 @@
 "rules": {"cold_from": 0.4, "ramp_time_us": 1000, "fall_multiple": 3.0}}"#;
 
 /// The vocabulary that those settings begin.
-pub fn names() -> settings::Vocabulary {
+pub fn names() -> settings::NameRegistry {
     let info = serde_json::from_str(SETTINGS).expect("JSON");
-    settings::Vocabulary::read(&info).expect("settings").1
+    settings::NameRegistry::read(&info).expect("settings").1
 }
 
 /// Settings under which connections may take long to come up and are used for as long as they last, and streamers
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -71,11 +71,11 @@
 /// seen would grow without end. A number is not given out twice.
 #[test]
 fn a_name_that_is_gone_is_dropped_for_good() {
-    let mut names = settings::Names::default();
-    let ids: Vec<u32> = ["a", "b"].iter().map(|n| names.id(n)).collect();
-    names.forget(ids[0]);
-    assert_eq!((names.known("a"), names.name(ids[0]), names.known("b")), (None, None, Some(ids[1])));
-    assert!(!ids.contains(&names.id("a")));
+    let mut names = settings::Interner::default();
+    let ids: Vec<u32> = ["a", "b"].iter().map(|n| names.intern(n)).collect();
+    names.remove(ids[0]);
+    assert_eq!((names.get("a"), names.resolve(ids[0]), names.get("b")), (None, None, Some(ids[1])));
+    assert!(!ids.contains(&names.intern("a")));
 }
 
 /// A give-up and a late answer cross: the session is released at its streamer, its viewer hears nothing more.
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -147,7 +147,7 @@
 #[test]
 fn pools_of_many_controllers_together_are_the_fleets_slots() {
     let part = |me: u32, controllers: u32| -> usize {
-        let set = Settings { me, controllers, ..one_of(0, 300) };
+        let set = Settings { controller_index: me, controllers, ..one_of(0, 300) };
         let (_, logs) = Bench::at_start(set, u64::from(me));
         let log = logs.iter().find_map(|a| if let Action::Log(t) = a { Some(t.clone()) } else { None });
         let digits = log.map_or(String::from("0"), |t| t.split(['[', ']']).nth(1).unwrap().to_string());
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -20,7 +20,7 @@
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
     let mut roll = |n: u64| dice.next_u64() % n;
     let mut paid = class(2.0, Effect::AtMostOnce);
-    (paid.lowest_rung, paid.seats) = (1, 4);
+    (paid.lowest_rung, paid.max_sessions_per_title) = (1, 4);
     let classes = vec![paid, class(1.0, Effect::Idempotent)];
     let budget = AttemptBudget { free: 3.0, per_request: 0.2, span_us: 5 * S, delay_us: 0 };
     let set = Settings {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -121,7 +121,7 @@
 #[test]
 fn seats_count_set_ups_and_handed_over_sessions() {
     let mut c = class(1.0, Effect::Idempotent);
-    c.seats = 3;
+    c.max_sessions_per_title = 3;
     let mut b = Bench::new(settings(vec![c]));
     let title = |id| Request { title: TitleId(9), ..request(id, 0) };
     b.give(Event::Preexisting(title(1), StreamerId(0)));
@@ -326,8 +326,8 @@
     let mut c = class(1.0, Effect::Idempotent);
     c.lowest_rung = 9;
     assert_eq!(new(settings(vec![c])), Some(SettingsError::NoRung(0)));
-    let none = Some(SettingsError::NoSuchController { me: 3, controllers: 2 });
-    assert_eq!(new(Settings { me: 3, controllers: 2, ..settings(idempotent()) }), none);
+    let none = Some(SettingsError::NoSuchController { index: 3, controllers: 2 });
+    assert_eq!(new(Settings { controller_index: 3, controllers: 2, ..settings(idempotent()) }), none);
     assert!(new(Settings { rack_kb: f64::NAN, ..settings(idempotent()) }).is_some());
 }
 
