--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -49,7 +49,7 @@
         wanted.cells_in_row = racks;
         let began = Instant::now();
         controller.handle(now, Event::Inbound(wanted), &mut out);
-        let at = sent(&out);
+        let at = sent_to(&out);
         if let Some(streamer) = at {
             let started = Event::Started { request: RequestId(id + 1), streamer, latency_us: 1_000 };
             controller.handle(now, started, &mut out);
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -29,7 +29,7 @@
 /// heard.
 #[test]
 fn a_set_up_that_waits_for_its_connection_does_not_go_out_once_its_viewer_has_closed() {
-    let rig = Rig::with_door_and(&common::patient());
+    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let (viewer, _filler) = waiting_for_a_connection(&rig, 0xc1, "replay");
     rig.stop();
     rig.close(viewer);
@@ -45,7 +45,7 @@
 /// The same with a give-up on a connection that stays open.
 #[test]
 fn a_set_up_that_waits_for_its_connection_does_not_go_out_once_its_viewer_gave_it_up() {
-    let rig = Rig::with_door_and(&common::patient());
+    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let (mut viewer, _filler) = waiting_for_a_connection(&rig, 0xc3, "replay");
     rig.stop();
     viewer.write_all(&message(12, 0xc3, &[(58, &[16])])).expect("written");
@@ -60,7 +60,7 @@
 /// The same with the list's word that the streamer drains.
 #[test]
 fn a_set_up_that_waits_for_its_connection_does_not_go_out_once_its_streamer_drains() {
-    let rig = Rig::with_door_and(&common::patient());
+    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let mut discovery = accept(&rig.bulletin);
     let (mut viewer, _filler) = waiting_for_a_connection(&rig, 0xc5, "replay");
     rig.stop();
@@ -155,7 +155,7 @@
 /// and the answer that had come before the break was thrown away.
 #[test]
 fn an_answer_ahead_of_a_break_is_heard_though_more_was_to_be_written() {
-    let rig = Rig::with_door_and(&common::patient());
+    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     socket2::SockRef::from(&*rig.streamer).set_recv_buffer_size(4_096).expect("set");
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xcf, "replay")).expect("written");
@@ -187,7 +187,7 @@
 /// Answers that a viewer never read were thrown away with its connection, and their sessions left standing.
 #[test]
 fn sessions_whose_answers_could_not_leave_are_released_at_their_streamer() {
-    let mut rig = Rig::with_door_and(&common::patient());
+    let mut rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let viewer = rig.viewer();
     let mut streamer = None;
     let long = "a".repeat(15_000);
@@ -212,7 +212,7 @@
 /// viewer had given up just before, which was thrown away with the connection.
 #[test]
 fn a_reset_behind_half_written_answers_leaves_nothing_standing() {
-    let rig = Rig::with_door_and(&common::patient());
+    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let HalfWritten { mut viewer, mut streamer, first, .. } = half_written(&rig);
     let undelivered = rig.figure("undelivered");
     rig.stop();
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -224,7 +224,7 @@
     let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line) else { panic!("not read") };
     let roster = notice.roster.expect("a roster");
     assert_eq!((notice.no, roster.scope()), (41, ListScope::Delta));
-    let mut names = common::names();
+    let mut names = common::name_registry();
     let members = roster.members(&mut names);
     assert_eq!(members.errors, vec![]);
     let (entry, address) = &members.entries[0];
@@ -250,7 +250,7 @@
     ];
     let line = format!(r#"{{"no":2,"roster":{{"members":[{}]}}}}"#, members.join(","));
     let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line.as_bytes()) else { panic!("not read") };
-    let members = notice.roster.expect("a roster").members(&mut common::names());
+    let members = notice.roster.expect("a roster").members(&mut common::name_registry());
     let standing: Vec<_> = members.entries.iter().map(|(entry, _)| entry.standing).collect();
     assert_eq!(standing, vec![Standing::Draining; 2], "an unknown state takes no set-ups");
     assert_eq!(members.errors.len(), 2);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -19,7 +19,7 @@
             let now = 100 * S + step * every + me as u64 * every / u64::from(controllers);
             let mut out = Vec::new();
             c.handle(now, Event::Inbound(request(step + 1, 0)), &mut out);
-            if let Some(streamer) = sent(&out) {
+            if let Some(streamer) = sent_to(&out) {
                 sends.push(now);
                 let (request, report) = (RequestId(step + 1), LoadReport::default());
                 let outcome = Outcome::QueueFull;
@@ -48,7 +48,7 @@
 fn a_cold_streamer_is_not_pushed_over_by_all_together() {
     for controllers in [1, 2, 3, 7, 20, 24, 30, 40] {
         // 40 streams over 10 s of warm-up, half of it at first, twice that at most: 4 in any second.
-        let set = Settings { controllers, ..settings(idempotent()) };
+        let set = Settings { controllers, ..settings(idempotent_classes()) };
         assert_paced(&cold_sends(&set, 20_000, told_cold), 4);
     }
 }
@@ -58,7 +58,7 @@
 #[test]
 fn the_pace_of_a_cold_streamer_is_used_by_many_controllers_with_little_each() {
     // 200 streams over 10 s of warm-up, half of it at first, twice that at most: 20 in any second.
-    let set = Settings { controllers: 100, max_streams_by_kind: vec![200], ..settings(idempotent()) };
+    let set = Settings { controllers: 100, max_streams_by_kind: vec![200], ..settings(idempotent_classes()) };
     assert_paced(&cold_sends(&set, 20_000, told_cold), 20);
     let few = cold_sends(&set, 700_000, told_cold).iter().filter(|t| **t < 108 * S).count();
     assert!(few >= 24, "{few} set-ups in 8 s of 1,100 requests");
@@ -77,7 +77,7 @@
         fleet_kb,
         rack_kb,
         weight_kb,
-        ..settings(idempotent())
+        ..settings(idempotent_classes())
     };
     let mut c = Controller::new(set, 1, 99 * S).unwrap();
     let started = Entry { started_at: Some(98 * S), ..entry(3, 0) };
@@ -88,7 +88,7 @@
         let mut out = Vec::new();
         let now = 100 * S + id * 30_000;
         c.handle(now, Event::Inbound(request(id, 0)), &mut out);
-        if let Some(streamer) = sent(&out) {
+        if let Some(streamer) = sent_to(&out) {
             let started = Event::Started { request: RequestId(id), streamer, latency_us: 20_000 };
             c.handle(now + 20_000, started, &mut Vec::new());
             at.push(streamer);
@@ -103,7 +103,7 @@
 /// property test failed for 3 of 400 seeds, each time there).
 #[test]
 fn a_director_that_starts_again_waits_for_the_next_turn() {
-    let set = Settings { controllers: 2, ..settings(idempotent()) };
+    let set = Settings { controllers: 2, ..settings(idempotent_classes()) };
     let list = || Event::List {
         scope: ListScope::Cached,
         entries: vec![Entry { started_at: Some(99 * S), ..entry(0, 0) }],
@@ -113,26 +113,26 @@
     let took = (0..80u64).map(|i| 100 * S + i * 10_000).find(|now| {
         let mut out = Vec::new();
         before.handle(*now, Event::Inbound(request(*now, 0)), &mut out);
-        sent(&out).is_some()
+        sent_to(&out).is_some()
     });
     let took = took.expect("a turn of its own");
     let mut again = Controller::new(set, 2, took + 1_000).unwrap();
     again.handle(took + 1_000, list(), &mut Vec::new());
     let mut out = Vec::new();
     again.handle(took + 2_000, Event::Inbound(request(1, 0)), &mut out);
-    assert!(sent(&out).is_none(), "the open turn was taken already: {out:?}");
+    assert!(sent_to(&out).is_none(), "the open turn was taken already: {out:?}");
 }
 
 /// ice9910: turns of all streamers at the same time left a restarted controller idle half the time.
 #[test]
 fn cold_turns_of_neighbouring_cells_differ() {
-    let set = Settings { controllers: 2, ..settings(idempotent()) };
+    let set = Settings { controllers: 2, ..settings(idempotent_classes()) };
     let mut c = Controller::new(set, 1, 99 * S).unwrap();
     let entries = (0..4).map(|i| entry(i, i)).collect();
     c.handle(99 * S, Event::List { scope: ListScope::Cached, entries }, &mut Vec::new());
     for id in 0..4u64 {
         let mut out = Vec::new();
         c.handle(100 * S + id * 800_000, Event::Inbound(request(id, 0)), &mut out);
-        assert!(sent(&out).is_some(), "request {id}: some holder's turn is ours");
+        assert!(sent_to(&out).is_some(), "request {id}: some holder's turn is ours");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -89,65 +89,66 @@
 }
 
 /// A controller with its clock, past the doubts of its own start.
-pub struct Bench {
+pub struct Harness {
     pub controller: Controller,
     pub now: u64,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
-        let (mut bench, _) = Bench::at_start(settings, 1);
-        bench.now = 20 * S;
-        bench
+        let (mut harness, _) = Harness::at_start(settings, 1);
+        harness.now = 20 * S;
+        harness
     }
 
     /// A controller at its start, and what it did with its first list.
     pub fn at_start(settings: Settings, seed: u64) -> (Self, Vec<Action>) {
-        let mut bench = Bench { controller: Controller::new(settings, seed, 0).expect("settings"), now: 0 };
+        let mut harness =
+            Harness { controller: Controller::new(settings, seed, 0).expect("settings"), now: 0 };
         let entries = (0..4).map(|i| entry(i, i)).collect();
-        let out = bench.give(Event::List { scope: ListScope::Full, entries });
-        (bench, out)
+        let out = harness.handle(Event::List { scope: ListScope::Full, entries });
+        (harness, out)
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.give(Event::Inbound(request))
+    pub fn request_session(&mut self, request: Request) -> Vec<Action> {
+        self.handle(Event::Inbound(request))
     }
 
     /// Lets a session of each title stand and end.
-    pub fn prove_titles(&mut self) {
+    pub fn serve_each_title(&mut self) {
         for id in 1000..1005 {
-            let at = sent(&self.ask(request(id, 0))).expect("sent");
-            self.start(id, at);
-            self.end(id, at, Outcome::Ok, true);
+            let at = sent_to(&self.request_session(request(id, 0))).expect("sent");
+            self.report_started(id, at);
+            self.report_ended(id, at, Outcome::Ok, true);
         }
     }
 
-    pub fn start(&mut self, id: u64, at: StreamerId) -> Vec<Action> {
-        self.give(Event::Started { request: RequestId(id), streamer: at, latency_us: 50_000 })
+    pub fn report_started(&mut self, id: u64, at: StreamerId) -> Vec<Action> {
+        self.handle(Event::Started { request: RequestId(id), streamer: at, latency_us: 50_000 })
     }
 
-    pub fn end(&mut self, id: u64, at: StreamerId, outcome: Outcome, last: bool) -> Vec<Action> {
+    pub fn report_ended(&mut self, id: u64, at: StreamerId, outcome: Outcome, last: bool) -> Vec<Action> {
         let (request, report) = (RequestId(id), LoadReport::default());
-        self.give(Event::Ended { request, attempt: 0, streamer: at, outcome, last, report })
+        self.handle(Event::Ended { request, attempt: 0, streamer: at, outcome, last, report })
     }
 
-    pub fn note(&mut self, id: u64, at: StreamerId, kind: NoteKind, value: f64) -> Vec<Action> {
-        self.give(Event::Note { request: RequestId(id), streamer: at, kind, value })
+    pub fn report_note(&mut self, id: u64, at: StreamerId, kind: NoteKind, value: f64) -> Vec<Action> {
+        self.handle(Event::Note { request: RequestId(id), streamer: at, kind, value })
     }
 
-    pub fn sweep(&mut self, after: u64) -> Vec<Action> {
+    pub fn fire_timer_after(&mut self, after: u64) -> Vec<Action> {
         self.now += after;
-        self.give(Event::Timer(TimerTag(1)))
+        self.handle(Event::Timer(TimerTag(1)))
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<StreamerId> {
+pub fn sent_to(actions: &[Action]) -> Option<StreamerId> {
     actions.iter().find_map(|a| if let Action::Send { streamer, .. } = a { Some(*streamer) } else { None })
 }
 
@@ -159,47 +160,47 @@
     actions.iter().any(|a| matches!(a, Action::EndFailed(_)))
 }
 
-pub fn class_of(worth: f64) -> Class {
+pub fn idempotent_class(worth: f64) -> Class {
     class(worth, Effect::Idempotent)
 }
 
-pub fn idempotent() -> Vec<Class> {
+pub fn idempotent_classes() -> Vec<Class> {
     vec![class(1.0, Effect::Idempotent)]
 }
 
 /// Changes of rung.
-pub fn rated(actions: &[Action]) -> usize {
+pub fn rate_changes(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Rate { .. })).count()
 }
 
 /// Settings of one of many controllers, in a fleet that grows with them.
-pub fn one_of(me: u32, controllers: u32) -> Settings {
+pub fn settings_of_controller(index: u32, controllers: u32) -> Settings {
     let weight_kb = 400.0 * f64::from(controllers);
     let (fleet_kb, rack_kb) = (4.0 * weight_kb, 4.0 * weight_kb);
     let max_streams_by_kind = vec![10 * controllers];
     Settings {
-        controller_index: me,
+        controller_index: index,
         controllers,
         weight_kb,
         fleet_kb,
         rack_kb,
         max_streams_by_kind,
-        ..settings(idempotent())
+        ..settings(idempotent_classes())
     }
 }
 
 /// A controller that plays one session, handed over at `rung` at streamer 0.
-pub fn with_session(set: Settings, rung: f64) -> Bench {
-    let seed = u64::from(set.controller_index) + 7;
-    let (mut b, _) = Bench::at_start(set, seed);
-    b.give(Event::Preexisting(request(1, 0), StreamerId(0)));
-    b.note(1, StreamerId(0), NoteKind::Rung, rung);
-    b.now = 20 * S;
-    b
+pub fn harness_with_session(settings: Settings, rung: f64) -> Harness {
+    let seed = u64::from(settings.controller_index) + 7;
+    let (mut harness, _) = Harness::at_start(settings, seed);
+    harness.handle(Event::Preexisting(request(1, 0), StreamerId(0)));
+    harness.report_note(1, StreamerId(0), NoteKind::Rung, rung);
+    harness.now = 20 * S;
+    harness
 }
 
 /// Settings as they come from outside.
-pub const SETTINGS: &str = r#"{"accounts": [], "me": 0, "peers_total": 1, "membership_mode": "pushed", "my_zone": "hall-a",
+pub const SETTINGS_JSON: &str = r#"{"accounts": [], "me": 0, "peers_total": 1, "membership_mode": "pushed", "my_zone": "hall-a",
 "kinds": ["two-core"], "over_share_worth": 0.1, "deductions": {}, "report": {"how": "pull", "names": ["load_share"]},
 "bounds": {"dial_timeout_us": 250000, "keepalive_us": 15000000, "max_attempts": 4, "max_retry_after_us": 1000000,
   "multiplex": 32, "probes": false, "retry_after": true},
@@ -211,15 +212,15 @@
 "rules": {"cold_from": 0.4, "ramp_time_us": 1000, "fall_multiple": 3.0}}"#;
 
 /// The vocabulary that those settings begin.
-pub fn names() -> settings::NameRegistry {
-    let info = serde_json::from_str(SETTINGS).expect("JSON");
+pub fn name_registry() -> settings::NameRegistry {
+    let info = serde_json::from_str(SETTINGS_JSON).expect("JSON");
     settings::NameRegistry::read(&info).expect("settings").1
 }
 
 /// Settings under which connections may take long to come up and are used for as long as they last, and streamers
 /// take many set-ups.
-pub fn patient() -> String {
-    SETTINGS
+pub fn settings_with_long_timeouts() -> String {
+    SETTINGS_JSON
         .replace(r#""deductions": {}"#, r#""deductions": {"handshake": 0.001}"#)
         .replace(r#""dial_timeout_us": 250000"#, r#""dial_timeout_us": 20000000"#)
         .replace(r#""multiplex": 32"#, r#""multiplex": 4096"#)
--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -45,7 +45,7 @@
         (r#""weight_kb": 2500.0"#, r#""weight_kb": 6000.0"#.into()),
         (r#""ramp_time_us": 1000"#, r#""ramp_time_us": 3000000"#.into()),
     ];
-    let mut text = common::SETTINGS.to_owned();
+    let mut text = common::SETTINGS_JSON.to_owned();
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, &to);
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -46,8 +46,9 @@
 /// set-up went on a connection of its own, at 8 points of a session's worth.
 #[test]
 fn where_a_handshake_has_a_price_a_silent_connection_is_used_again() {
-    let rig =
-        Rig::with(&common::SETTINGS.replace(r#""deductions": {}"#, r#""deductions": {"handshake": 0.08}"#));
+    let rig = Rig::with(
+        &common::SETTINGS_JSON.replace(r#""deductions": {}"#, r#""deductions": {"handshake": 0.08}"#),
+    );
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xa5, "seat-view")).expect("written");
     let mut streamer = rig.streamer();
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -142,7 +142,7 @@
 /// Each way that a request can end, against what the viewers and the streamer of this test counted.
 #[test]
 fn figures_tell_what_was_counted_outside() {
-    let once = common::SETTINGS.replace(r#""max_attempts": 4"#, r#""max_attempts": 1"#);
+    let once = common::SETTINGS_JSON.replace(r#""max_attempts": 4"#, r#""max_attempts": 1"#);
     let rig = Rig::with_door_and(&once);
     let (mut viewer, mut streamer) = first(&rig, 0x10);
     let mut relayed = 1;
--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The deadline of all classes in `common::SETTINGS`.
+/// The deadline of all classes in `common::SETTINGS_JSON`.
 const DEADLINE: Duration = Duration::from_millis(600);
 /// A platform kills no sooner than this after SIGTERM and the longest deadline.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
@@ -84,7 +84,7 @@
 /// One client reads slowly and holds the process; others go on sending until their connection is ended.
 #[test]
 fn a_request_sent_while_the_last_answers_are_written_is_answered_or_its_connection_ended_before() {
-    let mut rig = Rig::with_door_and(&common::patient());
+    let mut rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let HalfWritten { viewer: _slow, mut streamer, first, .. } = half_written(&rig);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(first + 9_000, "replay")).expect("written");
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -29,7 +29,7 @@
         probes: seed.is_multiple_of(3),
         ..settings(classes.clone())
     };
-    let mut b = Bench::new(set.clone());
+    let mut b = Harness::new(set.clone());
     let mut open: BTreeMap<RequestId, Open> = BTreeMap::new();
     let mut standing: BTreeMap<StreamerId, Standing> =
         (0..4).map(|i| (StreamerId(i), Standing::Up)).collect();
@@ -54,27 +54,27 @@
                 };
                 open.insert(r.id, new);
                 taken.push(b.now);
-                b.ask(r)
+                b.request_session(r)
             }
             4 => {
                 let id = StreamerId(roll(4) as u32);
                 let now = [Standing::Up, Standing::Up, Standing::Draining, Standing::Gone][roll(4) as usize];
                 standing.insert(id, now);
                 let e = Entry { standing: now, started_at: Some(b.now), ..entry(id.0, id.0) };
-                b.give(Event::List { scope: ListScope::Delta, entries: vec![e] })
+                b.handle(Event::List { scope: ListScope::Delta, entries: vec![e] })
             }
             5 | 6 => match pick(roll(1 << 32)) {
                 Some(id) if open[&id].out_at.is_some_and(|o| !o.1) => {
                     let o = open.get_mut(&id).unwrap();
                     let at = o.out_at.unwrap().0;
                     (o.out_at, o.answered) = (Some((at, true)), true);
-                    b.start(id.0, at)
+                    b.report_started(id.0, at)
                 }
                 Some(id) => {
                     let kind =
                         [NoteKind::Delivered, NoteKind::LinkUse, NoteKind::UplinkUse][roll(3) as usize];
                     let value = roll(150) as f64 / 100.0;
-                    b.note(id.0, open[&id].out_at.unwrap().0, kind, value)
+                    b.report_note(id.0, open[&id].out_at.unwrap().0, kind, value)
                 }
                 None => vec![],
             },
@@ -92,7 +92,7 @@
                     let outcome = if playing { Outcome::Ok } else { outcomes[roll(5) as usize] };
                     o.may_have_run |= !outcome.never_ran();
                     let last = o.answered;
-                    b.end(id.0, at, outcome, last)
+                    b.report_ended(id.0, at, outcome, last)
                 }
                 None => vec![],
             },
@@ -101,9 +101,9 @@
                     let outcome = [Outcome::Ok, Outcome::TimedOut][roll(2) as usize];
                     let load = Some(roll(150) as f64 / 100.0);
                     let report = LoadReport { link: load, uplink: load, ..LoadReport::default() };
-                    b.give(Event::Probed { streamer, outcome, report })
+                    b.handle(Event::Probed { streamer, outcome, report })
                 }
-                None => b.sweep(0),
+                None => b.fire_timer_after(0),
             },
         };
         for action in &actions {
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -16,7 +16,7 @@
     let short = format!(
         r#""target_us": 30000000, "deadline_us": 9000000, "effect": "deduplicated", "repeat_window_us": {window}"#
     );
-    common::SETTINGS
+    common::SETTINGS_JSON
         .replace(r#""dial_timeout_us": 250000"#, r#""dial_timeout_us": 20000000"#)
         .replace(seat_view, &short)
 }
--- a/tests/request_ends.rs
+++ b/tests/request_ends.rs
@@ -74,7 +74,7 @@
 /// Answers pile up at the director, beyond what it keeps for a client that does not read, while a request is open.
 #[test]
 fn a_request_on_a_connection_that_reads_slowly_gets_its_answer() {
-    let rig = Rig::with_door_and(&common::patient());
+    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let HalfWritten { mut viewer, mut streamer, answers, first } = half_written(&rig);
     let (open, served) = (first + 9_000, rig.figure("served"));
     viewer.write_all(&set_up(open, "replay")).expect("written");
@@ -128,7 +128,7 @@
 /// was told that it stands and never that it is over.
 #[test]
 fn a_release_that_overtakes_its_answer_is_told_after_it() {
-    let one_each = common::SETTINGS.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
+    let one_each = common::SETTINGS_JSON.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
     let rig = Rig::with_door_and(&one_each);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x241, "replay")).expect("written");
@@ -152,7 +152,7 @@
 /// that is opened; none was, since another one was open.
 #[test]
 fn a_release_lost_with_a_spoilt_connection_is_asked_for_on_a_new_one() {
-    let one_each = common::SETTINGS.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
+    let one_each = common::SETTINGS_JSON.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
     let rig = Rig::with_door_and(&one_each);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x251, "replay")).expect("written");
@@ -175,7 +175,7 @@
 /// The same with one that was closed to make room for a connection to a streamer, where all others are in use.
 #[test]
 fn a_release_lost_with_a_connection_that_made_room_is_asked_for_on_a_new_one() {
-    let one_each = common::patient().replace(r#""multiplex": 4096"#, r#""multiplex": 1"#);
+    let one_each = common::settings_with_long_timeouts().replace(r#""multiplex": 4096"#, r#""multiplex": 1"#);
     let rig = Rig::with_door_and(&one_each);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x261, "replay")).expect("written");
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -85,7 +85,7 @@
 
 impl Rig {
     pub fn start() -> Rig {
-        Rig::with(common::SETTINGS)
+        Rig::with(common::SETTINGS_JSON)
     }
 
     pub fn with(settings: &str) -> Rig {
@@ -94,7 +94,7 @@
 
     /// With a door for operators.
     pub fn with_door() -> Rig {
-        Rig::with_door_and(common::SETTINGS)
+        Rig::with_door_and(common::SETTINGS_JSON)
     }
 
     pub fn with_door_and(settings: &str) -> Rig {
@@ -104,7 +104,7 @@
     /// With a door, on a listening socket that this process holds, as another one before it may do.
     pub fn on(held: &TcpListener, streamer: &Arc<TcpListener>, bulletin: &Arc<TcpListener>) -> Rig {
         let (streamer, bulletin) = (Arc::clone(streamer), Arc::clone(bulletin));
-        How { door: true, held: Some(held), streamer, bulletin, ..How::new(common::SETTINGS) }.start()
+        How { door: true, held: Some(held), streamer, bulletin, ..How::new(common::SETTINGS_JSON) }.start()
     }
 
     /// Started as the deploy file's `run` says, from the root of the repository, for a deployment with this hall
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -106,7 +106,7 @@
 /// A full table closed the connection of a viewer that was in the middle of reading its answers.
 #[test]
 fn a_connection_with_half_written_answers_makes_no_room() {
-    let rig = Rig::with_door_and(&common::patient());
+    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let HalfWritten { mut viewer, answers, .. } = half_written(&rig);
     let before = rig.figure("viewer_connections");
     rig.stop();
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -97,7 +97,7 @@
 /// Answers that the viewer's machine had no room for were thrown away as the process ended.
 #[test]
 fn answers_that_are_half_written_at_the_end_are_written_out() {
-    let mut rig = Rig::with_door_and(&common::patient());
+    let mut rig = Rig::with_door_and(&common::settings_with_long_timeouts());
     let HalfWritten { mut viewer, answers, .. } = half_written(&rig);
     rig.signal("-TERM");
     next_line(&mut rig.log, "waits for its last messages to be written");
