--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,6 +1,6 @@
-//! The module's interface: settings, events, actions and outcomes. Plain types, no decisions.
+//! Interface of the decision module: settings, events, actions and outcomes. Data types, no decision logic.
 
-/// A moment or a span of the controller's clock, in microseconds.
+/// A point in time or a duration on the controller's clock, in microseconds.
 pub type Micros = u64;
 
 macro_rules! id {
@@ -12,13 +12,13 @@
 }
 
 id! {
-    /// One request for a session; never used twice.
+    /// A session request; an id is never reused.
     RequestId(u64),
-    /// A streamer (media server); keeps its id when its process restarts.
+    /// A streamer (media server); it keeps its id across restarts of its process.
     StreamerId(u32),
-    /// A title (what is watched).
+    /// A title: the content that is watched.
     TitleId(u32),
-    /// A viewer; stays the same over all of a viewer's tries.
+    /// A viewer; the id is the same for all attempts of one viewer.
     ViewerId(u32),
     /// Index into [`Settings::classes`].
     ClassId(usize),
@@ -28,22 +28,22 @@
     KindId(usize),
     /// A zone.
     ZoneId(u32),
-    /// Names a timer; picked by the controller.
+    /// Identifies a timer; chosen by the controller.
     TimerTag(u64),
 }
 
-/// What a repeated set-up of a class may do.
+/// Whether a set-up of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be set up again without harm.
+    /// Repeating a set-up is harmless.
     Idempotent,
-    /// Must be set up once at most.
+    /// A session must be set up at most once.
     AtMostOnce,
-    /// Repeats are recognised within a group of streamers and a window.
+    /// Repeats are recognised within a group of streamers and a time window.
     Deduplicated,
 }
 
-/// Which streamers recognise a repeat of a [`Effect::Deduplicated`] class.
+/// Which streamers recognise a repeated set-up of an [`Effect::Deduplicated`] class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Any streamer.
@@ -55,7 +55,7 @@
 }
 
 impl DedupScope {
-    /// Whether a repeat at one streamer is recognised after an attempt at the other.
+    /// Whether streamer `next` recognises a repeat of an attempt that was made at streamer `first`.
     pub fn covers(self, first: &Entry, next: &Entry) -> bool {
         match self {
             DedupScope::All => true,
@@ -68,151 +68,151 @@
 /// A class of sessions.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Worth of one second at a rung of worth 1.
+    /// Value of one second of playback at a rung of worth 1.
     pub worth: f64,
-    /// Usual bound for a set-up.
+    /// Target time for a set-up.
     pub target_us: Micros,
-    /// What a repeat may do.
+    /// Whether a set-up may be repeated.
     pub effect: Effect,
-    /// Where a repeat is recognised.
+    /// The streamers among which a repeat is recognised.
     pub dedup_scope: DedupScope,
-    /// For how long a repeat is recognised.
+    /// How long a repeat is recognised.
     pub repeat_window_us: Micros,
-    /// Its rates over those of the ladder.
+    /// Factor from the rates of the ladder to the rates of this class.
     pub scale: f64,
-    /// The lowest rung that may be set.
+    /// The lowest rung that a session may play at.
     pub lowest_rung: usize,
-    /// The highest rung.
+    /// The highest rung that a session may play at.
     pub highest_rung: usize,
-    /// Sessions of one title that one controller may hold; 0 = no cap.
+    /// Sessions of one title that one controller may have at a time; 0 = no limit.
     pub max_sessions_per_title: usize,
-    /// Titles are live: viewers may share a stream.
+    /// Titles are live, so viewers may share a stream.
     pub live: bool,
 }
 
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all controllers.
+    /// Requests a second within the tenant's share, summed over all controllers.
     pub quota_per_s: f64,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportMode {
-    /// In outcomes and probe results.
+    /// Outcomes of attempts and probe results.
     InAnswers,
-    /// In probe results alone.
+    /// Probe results only.
     ProbeOnly,
-    /// Nowhere.
+    /// There are no load reports.
     #[default]
     Silent,
 }
 
-/// What a controller is told at its start.
+/// The settings that a controller is started with.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// This controller's number, from 0.
+    /// Index of this controller, from 0.
     pub controller_index: u32,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controllers: u32,
-    /// The classes.
+    /// The session classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of traffic past a tenant's share, as a part of the usual.
+    /// Worth of traffic beyond a tenant's share, as a fraction of its usual worth.
     pub over_share_worth: f64,
-    /// Rate of each rung, kB a second, rising.
+    /// Rate of each rung in kB a second, in ascending order.
     pub ladder_kb: Vec<f64>,
-    /// What each rung earns, 1 at most.
+    /// Worth of each rung, at most 1.
     pub ladder_worth: Vec<f64>,
-    /// All links together at the start, kB a second.
+    /// Capacity of all links together at the start, kB a second.
     pub fleet_kb: f64,
-    /// Mean uplink of a rack, kB a second.
+    /// Mean uplink capacity of a rack, kB a second.
     pub rack_kb: f64,
     /// Number of racks; a streamer's rack is its cell modulo this.
     pub racks: u32,
     /// Number of cells.
     pub cells: u32,
-    /// Link of a streamer for each unit of its weight, kB a second.
+    /// Link capacity of a streamer for each unit of its weight, kB a second.
     pub weight_kb: f64,
-    /// For each kind: streams that it runs at most.
+    /// Maximum number of streams that a streamer of each kind runs.
     pub max_streams_by_kind: Vec<u32>,
-    /// A streamer turns set-ups away while so much of its link is asked; 0 = never.
+    /// Link demand, relative to capacity, from which a streamer rejects set-ups; 0 = never.
     pub full_from: f64,
-    /// What a further viewer of a live title adds, as a part of the rate; 1 = nothing is shared.
+    /// Load that a further viewer of a live title adds, as a fraction of the rate; 1 = nothing is shared.
     pub shared_adds: f64,
-    /// A change of rung costs so many seconds of the class's worth.
+    /// Cost of a change of rung, in seconds of the class's worth.
     pub switch_s: f64,
-    /// How late notes of delivery are.
+    /// Delay of notes on delivery.
     pub seen_after_us: Micros,
-    /// Time between notes of link use; 0 = none.
+    /// Interval between notes on link use; 0 = there are none.
     pub reports_every_us: Micros,
-    /// Where load reports come from.
+    /// The source of load reports.
     pub reports: ReportMode,
-    /// Probes are permitted.
+    /// Whether probes are permitted.
     pub probes: bool,
-    /// Attempts one request may have.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The longest hold-off a client follows; 0 = hints do not reach clients.
+    /// The longest retry delay that clients obey; 0 = retry hints do not reach clients.
     pub max_hold_off_us: Micros,
-    /// A cold streamer begins at no less than this part of its capacity.
+    /// Fraction of its capacity that a cold streamer starts with at least.
     pub cold_from: f64,
-    /// It is warm no later than this after its start.
+    /// Time after its start by which a streamer is warm.
     pub warm_up_us: Micros,
-    /// It falls over at this multiple of its present capacity.
+    /// Multiple of its present capacity at which a streamer fails.
     pub fall_multiple: f64,
-    /// Discovery must be asked.
+    /// Whether discovery answers only on request.
     pub discovery_on_request: bool,
-    /// How long a controller may go without asking.
+    /// Longest time that a controller may go without asking discovery.
     pub ask_within_us: Micros,
-    /// The ration of further attempts, where one is stated.
+    /// The budget of retries, if one is set.
     pub attempt_budget: Option<crate::AttemptBudget>,
     /// This controller's zone.
     pub my_zone: ZoneId,
-    /// Points taken off for a session that crosses zones, as a part of its worth.
+    /// Price of a session that crosses zones, as a fraction of its worth.
     pub cross_zone_price: f64,
-    /// Price of one probe, as a part of a session's worth.
+    /// Price of one probe, as a fraction of a session's worth.
     pub probe_price: f64,
-    /// Price of a new connection, as a part of a session's worth.
+    /// Price of a new connection, as a fraction of a session's worth.
     pub handshake_price: f64,
-    /// For so long after a set-up its connection takes further ones.
+    /// How long after a set-up its connection accepts further set-ups.
     pub connection_reuse_us: Micros,
-    /// Price of a moved session, as a part of a session's worth.
+    /// Price of moving a session, as a fraction of the session's worth.
     pub move_price: f64,
 }
 
-/// Settings that no controller can work with.
+/// Why settings are unusable for a controller.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class.
-    #[error("settings name no class of session")]
+    /// There is no session class.
+    #[error("settings define no session class")]
     NoClasses,
-    /// The ladder has no rung, or rates and worths differ in number.
+    /// The ladder has no rung, or its rates and worths differ in number.
     #[error("the ladder is empty, or its rates and worths differ in number")]
     BadLadder,
-    /// A rate, worth or capacity is zero, negative or not a number.
+    /// A rate, worth, scale or capacity is not a finite positive number, or there are no cells or racks.
     #[error("{0} must be a positive number")]
     NotPositive(&'static str),
-    /// A class may use no rung.
+    /// The rung limits of a class leave it no rung.
     #[error("class {0} may use no rung of the ladder")]
     NoRung(usize),
-    /// There are no controllers, or this one's number is not among them.
-    #[error("controller {index} of {controllers} cannot be")]
+    /// The index of this controller is not below the number of controllers.
+    #[error("controller index {index} is not below the number of controllers, {controllers}")]
     NoSuchController {
-        /// Its number.
+        /// Index of this controller.
         index: u32,
-        /// How many there are.
+        /// Number of controllers.
         controllers: u32,
     },
 }
 
 impl Settings {
-    /// Whether a controller can work with these settings at all.
+    /// Checks that a controller can work with these settings.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let rungs = self.ladder_kb.len();
+        let (rungs, index, controllers) = (self.ladder_kb.len(), self.controller_index, self.controllers);
         let positive = |x: f64| x.is_finite() && x > 0.0;
-        let need = |what, ok: bool| if ok { Ok(()) } else { Err(SettingsError::NotPositive(what)) };
+        let require = |what, ok: bool| if ok { Ok(()) } else { Err(SettingsError::NotPositive(what)) };
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
@@ -220,292 +220,291 @@
             return Err(SettingsError::BadLadder);
         }
         let mut ladder = self.ladder_kb.iter().chain(&self.ladder_worth);
-        need("every rate and worth of the ladder", ladder.all(|&x| positive(x)))?;
-        need("the fleet's capacity", positive(self.fleet_kb))?;
-        need("a rack's uplink", positive(self.rack_kb))?;
-        need("a link for a unit of weight", positive(self.weight_kb))?;
-        need("the number of cells and racks", self.racks > 0 && self.cells > 0)?;
+        require("every rate and worth of the ladder", ladder.all(|&x| positive(x)))?;
+        require("the fleet's capacity", positive(self.fleet_kb))?;
+        require("a rack's uplink", positive(self.rack_kb))?;
+        require("a link for a unit of weight", positive(self.weight_kb))?;
+        require("the number of cells and racks", self.racks > 0 && self.cells > 0)?;
         for (i, class) in self.classes.iter().enumerate() {
             if class.lowest_rung >= rungs || class.lowest_rung > class.highest_rung {
                 return Err(SettingsError::NoRung(i));
             }
-            need("a class's worth and scale", positive(class.scale) && positive(class.worth))?;
+            require("a class's worth and scale", positive(class.scale) && positive(class.worth))?;
         }
-        let (index, controllers) = (self.controller_index, self.controllers);
         if index >= controllers {
             return Err(SettingsError::NoSuchController { index, controllers });
         }
         Ok(())
     }
 
-    /// The rack of a streamer.
+    /// The rack that a streamer is in.
     pub fn rack_of(&self, entry: &Entry) -> u32 {
         entry.cell % self.racks
     }
 
-    /// Streams that a streamer runs at most; of an unknown kind, those of the smallest.
+    /// Maximum number of streams of a streamer; for an unknown kind, that of the smallest kind.
     pub fn max_streams(&self, entry: &Entry) -> f64 {
-        let least = self.max_streams_by_kind.iter().min().copied().unwrap_or(u32::MAX);
-        f64::from(entry.kind.and_then(|k| self.max_streams_by_kind.get(k.0).copied()).unwrap_or(least))
+        let smallest = self.max_streams_by_kind.iter().min().copied().unwrap_or(u32::MAX);
+        f64::from(entry.kind.and_then(|k| self.max_streams_by_kind.get(k.0).copied()).unwrap_or(smallest))
     }
 
-    /// Whether a streamer holds the title of a request.
+    /// Whether a streamer stores the title of a request.
     pub fn holds_title(&self, request: &Request, entry: &Entry) -> bool {
-        let (cells, from) = (self.cells, request.start_cell % self.cells);
-        (entry.cell % cells + cells - from) % cells < request.cells_in_row
+        let (cells, start) = (self.cells, request.start_cell % self.cells);
+        (entry.cell % cells + cells - start) % cells < request.cells_in_row
     }
 
-    /// Rate of a class at a rung, kB a second.
+    /// Rate of a class at a rung, in kB a second.
     pub fn rate_kb(&self, class: ClassId, rung: usize) -> f64 {
         self.ladder_kb[rung.min(self.ladder_kb.len() - 1)] * self.classes[class.0].scale
     }
 
-    /// The highest rung that a request may play at; its class's floor where that is higher.
+    /// The highest rung that a request may play at, but no less than the lowest rung of its class.
     pub fn top_rung(&self, request: &Request) -> usize {
         let class = &self.classes[request.class.0];
         class.highest_rung.min(request.max_rung).min(self.ladder_kb.len() - 1).max(class.lowest_rung)
     }
 }
 
-/// What discovery says of a streamer.
+/// The state of a streamer according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
-    /// It runs.
+    /// Running.
     #[default]
     Up,
-    /// It completes its work.
+    /// Finishing its sessions; accepts no new ones.
     Draining,
-    /// It was taken away.
+    /// Removed from the fleet.
     Gone,
 }
 
-/// One line of the server list.
+/// One streamer in the list from discovery.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    /// Which streamer.
+    /// The streamer.
     pub streamer: StreamerId,
-    /// Its zone.
+    /// The zone that it is in.
     pub zone: ZoneId,
-    /// Its kind, where the settings know it.
+    /// Its kind, if the settings name it.
     pub kind: Option<KindId>,
-    /// Its cell.
+    /// The cell that it is in.
     pub cell: u32,
-    /// What discovery says of it.
+    /// Its state according to discovery.
     pub standing: Standing,
-    /// Its weight.
+    /// Its weight, which scales its link capacity.
     pub weight: f64,
-    /// When it last started; `None` means long ago.
+    /// When it last started; `None` if that was long ago.
     pub started_at: Option<Micros>,
 }
 
-/// How a list is meant.
+/// What the entries of a streamer list cover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Just what changed.
+    /// Only the entries that changed.
     Delta,
-    /// Everything.
+    /// All streamers.
     Full,
-    /// Everything as held last, possibly out of date.
+    /// All streamers as last known, possibly out of date.
     Cached,
-    /// A call to discovery failed; no entries.
+    /// The call to discovery failed; there are no entries.
     Failed,
 }
 
-/// A viewer's request, or a session handed over.
+/// A viewer's request for a session, or a session that was handed over to this controller.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the session.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// Tenant of the session, if any.
     pub tenant: Option<TenantId>,
-    /// What is watched.
+    /// The title to watch.
     pub title: TitleId,
-    /// Who watches.
+    /// The viewer.
     pub viewer: ViewerId,
-    /// First cell that holds the title.
+    /// First cell that stores the title.
     pub start_cell: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that store the title.
     pub cells_in_row: u32,
-    /// The viewer's best rung.
+    /// The highest rung that the viewer can play.
     pub max_rung: usize,
-    /// How long the viewer still waits.
+    /// How much longer the viewer waits for an answer.
     pub left_us: Micros,
-    /// The viewer comes again (after a refusal, a break or a move), or the client marked a repeat.
+    /// The viewer returns after a refusal, an interruption or a move, or the client marked a repeat.
     pub returned: bool,
-    /// Requests that wait for their answer on the same connection, where the front end knows.
+    /// Other requests awaiting an answer on the same connection, where the front end knows the number.
     pub beside: usize,
 }
 
-/// Values of a load report that came along; absent ones are `None`.
+/// Values of a streamer's load report; absent values are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Streams that it runs or sets up.
+    /// Streams that the streamer runs or sets up.
     pub streams: Option<f64>,
-    /// Share of its link that is asked, 1 at most.
+    /// Demand on its link relative to capacity, capped at 1.
     pub link_capped: Option<f64>,
-    /// What is asked of its link over what it gives.
+    /// Demand on its link relative to capacity, uncapped.
     pub link: Option<f64>,
-    /// The same of its rack's uplink.
+    /// Demand on the uplink of its rack relative to capacity, uncapped.
     pub uplink: Option<f64>,
 }
 
-/// How an attempt, or a probe, ended.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Success.
     Ok,
-    /// An error; it may have run.
+    /// Error response; the attempt may have run.
     Failed,
-    /// Turned away unseen.
+    /// Rejected before it was processed.
     QueueFull,
-    /// No answer in time; it may have run.
+    /// No answer in time; the attempt may have run.
     TimedOut,
-    /// No connection.
+    /// The connection could not be established.
     ConnectError,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// The connection had to be closed on what could not be read; it may have run.
+    /// The connection was closed because of unreadable data; the attempt may have run.
     Garbled,
-    /// Called off; it may have run.
+    /// Cancelled; the attempt may have run.
     Canceled,
-    /// Never sent.
+    /// The attempt was never sent.
     Ignored,
 }
 
 impl Outcome {
-    /// Whether this ending proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::QueueFull | Outcome::ConnectError | Outcome::Ignored)
     }
 }
 
-/// What a note on a session tells.
+/// What the value of a note on a session means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoteKind {
-    /// Share of their rates that sessions at this streamer got.
+    /// Fraction of their rates that was delivered to the sessions at this streamer.
     Delivered,
-    /// The rung in force.
+    /// The rung that the session plays at.
     Rung,
-    /// What is asked of the link over what it gives.
+    /// Demand on the streamer's link relative to capacity.
     LinkUse,
-    /// The same of the rack's uplink.
+    /// Demand on the uplink of its rack relative to capacity.
     UplinkUse,
 }
 
-/// What a controller hears.
+/// Input of a controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Discovery's news.
+    /// A list of streamers from discovery, or its failure.
     List {
-        /// How the list is meant.
+        /// What the entries cover.
         scope: ListScope,
-        /// Its entries.
+        /// The streamers listed.
         entries: Vec<Entry>,
     },
-    /// A viewer wants a session.
+    /// A viewer requests a session.
     Inbound(Request),
-    /// A session that plays already, at the start.
+    /// A session that already plays when the controller starts, and its streamer.
     Preexisting(Request, StreamerId),
-    /// A set-up is done.
+    /// A set-up succeeded.
     Started {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// How long the set-up took.
+        /// Duration of the set-up.
         latency_us: Micros,
     },
-    /// News on a session.
+    /// A measurement of a session or of its streamer.
     Note {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// What it tells.
+        /// What the value means.
         kind: NoteKind,
-        /// Its value.
+        /// The value.
         value: f64,
     },
     /// An attempt ended.
     Ended {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The request has ended; no answer is owed.
+        /// Whether the request has ended, so that no answer is due.
         last: bool,
-        /// The load report that came along.
+        /// The load report in the answer.
         report: LoadReport,
     },
-    /// The client left; no answer is owed.
+    /// The client disconnected; no answer is due.
     ClientGone(RequestId),
-    /// A probe's result.
+    /// The result of a probe.
     Probed {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
         /// How it ended.
         outcome: Outcome,
-        /// The load report that came along.
+        /// The load report in the answer.
         report: LoadReport,
     },
-    /// A connection to a streamer came up, or did not; no attempt need have been behind it.
+    /// The result of connecting to a streamer, whether or not an attempt required the connection.
     ConnectResult {
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// Whether it came up.
+        /// Whether the connection was established.
         connected: bool,
     },
-    /// A timer has come due.
+    /// A timer expired.
     Timer(TimerTag),
 }
 
-/// What a controller does.
+/// Output of a controller, to be carried out by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask a streamer to start the session.
+    /// Send a set-up request for the session to a streamer.
     Send {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which streamer.
+        /// The streamer.
         streamer: StreamerId,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt.
         try_for_us: Micros,
     },
-    /// Set the session's rung.
+    /// Set the rung of the session.
     Rate {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// The rung.
+        /// The rung to set.
         rung: usize,
     },
-    /// Final answer: refused, with a hint when to come again.
+    /// Final answer: the request is refused, with a hint when to retry.
     Refuse {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// How long the client should keep away.
+        /// How long the client should wait before it retries.
         hold_off_us: Micros,
     },
-    /// Final answer: failed, with no claim about effects.
+    /// Final answer: the request failed; it is not known whether an attempt took effect.
     EndFailed(RequestId),
-    /// Take the session off its streamer; the viewer comes back to this controller.
+    /// Release the session from its streamer; the viewer then returns to this controller.
     Move(RequestId),
-    /// Ask a streamer for its load.
+    /// Send a probe to a streamer to get its load.
     Probe(StreamerId),
-    /// Ask for a timer.
+    /// Start a timer.
     Timer {
-        /// How long from now.
+        /// Time until it expires.
         after_us: Micros,
-        /// Its name.
+        /// Tag that the expiry event carries.
         tag: TimerTag,
     },
     /// Subscribe to discovery.
     Subscribe,
-    /// A line for on-call staff.
+    /// A log line for operators.
     Log(String),
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,14 +1,16 @@
-//! The core of stonewharf: admission, placement and quality of media sessions for one controller, and the
-//! session ledger of a director round the decisions.
+//! The core of stonewharf: admission, placement and quality selection of media sessions for one controller,
+//! and the session ledger of a director, which wraps these decisions.
 //!
 //! Each controller splits its share of server slots into per-class pools that maximise an Erlang-loss payoff
-//! rate, lends idle slots while links have room, refuses otherwise, and re-chooses the split periodically.
-//! The library does no I/O and reads no clock: events go in with their time, actions come out.
+//! rate, lends idle slots while links have capacity, refuses requests otherwise, and recomputes the split
+//! periodically. The library performs no I/O and reads no clock: the caller passes in events with their time
+//! and carries out the returned actions.
 //!
 //! ```
-//! use stonewharf_core::{Action, Class, ClassId, Controller, DedupScope, Effect, Entry, Event, KindId,
-//! ListScope}; use stonewharf_core::{ReportMode, Request, RequestId, Settings, Standing, StreamerId,
-//! TitleId}; use stonewharf_core::{ViewerId, ZoneId};
+//! use stonewharf_core::{
+//!     Action, Class, ClassId, Controller, DedupScope, Effect, Entry, Event, KindId, ListScope, ReportMode,
+//!     Request, RequestId, Settings, Standing, StreamerId, TitleId, ViewerId, ZoneId,
+//! };
 //!
 //! let settings = Settings {
 //!     controller_index: 0, controllers: 1, tenants: vec![], over_share_worth: 1.0,
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings that a controller is started with, as JSON, and the names in them as the module's small
-//! numbers. Both front ends, the simulator's wire and the real director, read them here. No decisions.
+//! Parses the JSON settings that a controller is started with, and maps the names in them to numeric ids.
+//! Both front ends, the simulator's wire protocol and the real director, use it. Contains no decision logic.
 mod names;
 
 use crate::interface::*;
@@ -7,38 +7,38 @@
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// What can be wrong with the settings or with a name that should be among them.
+/// An error in the settings, or a name or value that does not fit them.
 #[derive(Debug, thiserror::Error)]
 pub enum NameError {
-    /// A word outside the vocabulary.
+    /// A name that is neither a known keyword nor defined by the settings.
     #[error("unknown {what} {word:?}")]
     UnknownWord {
-        /// What the word stands for.
+        /// What the name should denote.
         what: &'static str,
-        /// The word.
+        /// The unknown name.
         word: String,
     },
-    /// A figure that the settings leave no place for.
+    /// A number outside the range that the settings allow.
     #[error("{what} {figure} is out of range")]
     OutOfRange {
-        /// What the figure is.
+        /// What the number denotes.
         what: &'static str,
-        /// The figure.
+        /// The number.
         figure: u64,
     },
-    /// The settings are unusable.
+    /// The settings fail their validation.
     #[error("unusable settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
 impl NameError {
-    /// A word outside the vocabulary of `what`.
+    /// Error for the unknown name `word` of a `what`.
     pub fn word(what: &'static str, word: &str) -> Self {
         NameError::UnknownWord { what, word: word.to_owned() }
     }
 }
 
-/// The settings as they come.
+/// The settings as deserialized, before they are converted to [`Settings`].
 #[derive(Clone, PartialEq, Deserialize)]
 pub struct RawSettings {
     me: u32,
@@ -62,7 +62,7 @@
 }
 
 impl RawSettings {
-    /// What is deducted for something.
+    /// The deduction for the item `name`; 0 if the settings give none.
     fn deduction(&self, name: &str) -> f64 {
         self.deductions.get(name).copied().unwrap_or(0.0)
     }
@@ -138,7 +138,7 @@
     how: String,
 }
 
-/// Strings as small numbers, in order of first sight; no number is given out twice.
+/// Maps strings to numeric ids, assigned in order of first use. An id is never assigned twice.
 #[derive(Default)]
 pub struct Interner {
     by_name: HashMap<String, u32>,
@@ -147,7 +147,7 @@
 }
 
 impl Interner {
-    /// The number of a name.
+    /// The id of a name; assigns one if the name is new.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&id) = self.by_name.get(name) {
             return id;
@@ -159,30 +159,30 @@
         id
     }
 
-    /// Drops a name that is not to come again; should it come, it is a new one.
+    /// Removes a name that is not expected again; if it does occur again, it gets a new id.
     pub fn remove(&mut self, id: u32) {
         if let Some(name) = self.names.remove(&id) {
             self.by_name.remove(&name);
         }
     }
 
-    /// The number of a name that was met before.
+    /// The id of a name, if one was assigned.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.by_name.get(name).copied()
     }
 
-    /// The name of a number.
+    /// The name of an id.
     pub fn resolve(&self, id: u32) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 }
 
-/// A figure as a whole number: 0 where it is absent, negative or not a number.
+/// The integer part of a value; 0 if it is absent, negative or not a number.
 pub fn whole_or_zero(value: Option<f64>) -> u64 {
     value.unwrap_or(0.0).max(0.0) as u64
 }
 
-/// A load report from its values by name.
+/// Builds a load report with a function that looks up its values by name.
 pub fn load_report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
     LoadReport {
         streams: value("concurrent"),
@@ -192,6 +192,7 @@
     }
 }
 
+/// Converts the settings, with the zone names interned in `zones`.
 fn parse_settings(raw: &RawSettings, zones: &mut Interner) -> Result<Settings, NameError> {
     let fleet = &raw.family_info;
     let top = fleet.ladder_kb.len().saturating_sub(1);
@@ -273,22 +274,24 @@
     })
 }
 
-/// What the settings say of connections to streamers and of the viewers' time; no matter of the decisions.
+/// Settings for connections to streamers and for viewers' deadlines. They do not belong to the decisions, so
+/// they are kept apart from [`Settings`].
 #[derive(Clone, Debug)]
 pub struct TransportSettings {
-    /// A connection that is not up after this counts as never up.
+    /// Time after which a connection attempt counts as failed.
     pub dial_timeout_us: Micros,
-    /// Idle connections are closed after this.
+    /// Time after which idle connections are closed.
     pub idle_timeout_us: Micros,
-    /// Set-ups that one connection carries at a time.
+    /// Maximum number of concurrent set-ups on one connection.
     pub set_ups_per_connection: usize,
-    /// How long a viewer of each class waits that does not say so.
+    /// How long a viewer waits who does not state a deadline, per class.
     pub default_deadlines_us: Vec<Micros>,
-    /// Price of a new connection, as a part of a session's worth.
+    /// Price of a new connection, as a fraction of a session's worth.
     pub handshake_price: f64,
 }
 
 impl TransportSettings {
+    /// Extracts the transport settings; absent values get their defaults.
     fn of(raw: &RawSettings) -> Self {
         let limits = &raw.bounds;
         let or_default = |x: Option<f64>, default: u64| x.map_or(default, |x| whole_or_zero(Some(x))).max(1);
@@ -305,12 +308,13 @@
         }
     }
 
-    /// For so long after its last use a connection takes set-ups, so that none crosses the streamer's close.
+    /// How long after its last use a connection still accepts set-ups: shorter than the idle timeout, so that
+    /// no set-up crosses the streamer's close of the connection.
     pub fn connection_reuse_us(&self) -> Micros {
         self.idle_timeout_us / 5 * 3
     }
 
-    /// The longest time that a viewer of any class waits.
+    /// The longest default deadline of any class.
     pub fn longest_deadline_us(&self) -> Micros {
         self.default_deadlines_us.iter().max().copied().unwrap_or(3_000_000)
     }
--- a/crates/core/src/settings/names.rs
+++ b/crates/core/src/settings/names.rs
@@ -1,53 +1,53 @@
-//! The names that one controller has heard, as the module's small numbers.
+//! Converts the names that a front end uses to the numeric ids of the decision module.
 use super::{Interner, NameError, RawSettings, TransportSettings, parse_settings};
 use crate::interface::*;
 
-/// A request for a session, in the words of a front end.
+/// A session request as a front end receives it, with names instead of ids.
 #[derive(Default)]
 pub struct NamedRequest<'a> {
-    /// Its number.
+    /// Id of the request.
     pub id: u64,
-    /// Its class.
+    /// Name of the class.
     pub class: &'a str,
-    /// Its tenant, if any.
+    /// Name of the tenant, if any.
     pub tenant: Option<&'a str>,
-    /// What is watched.
+    /// Name of the title.
     pub title: &'a str,
-    /// Who watches.
+    /// Name of the viewer.
     pub viewer: &'a str,
-    /// First cell that holds the title.
+    /// First cell that stores the title.
     pub start_cell: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that store the title.
     pub cells_in_row: u32,
-    /// The viewer's best rung.
+    /// The highest rung that the viewer can play, if given.
     pub max_rung: Option<usize>,
-    /// How long the viewer still waits.
+    /// How much longer the viewer waits for an answer.
     pub left_us: Micros,
-    /// The viewer comes again.
+    /// Whether the viewer returns, or the client marked a repeat.
     pub returned: bool,
 }
 
-/// A line of the server list, in the words of a front end.
+/// An entry of the streamer list as a front end receives it, with names instead of ids.
 pub struct NamedEntry<'a> {
-    /// The streamer.
+    /// Name of the streamer.
     pub streamer: &'a str,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: &'a str,
-    /// Its kind.
+    /// Name of its kind.
     pub kind: &'a str,
-    /// Its cell.
+    /// The cell that it is in.
     pub cell: u32,
-    /// What discovery says of it.
+    /// Its state according to discovery.
     pub standing: Standing,
-    /// Its weight.
+    /// Its weight, if given; 1 otherwise.
     pub weight: Option<f64>,
-    /// When it last started; 0 means long ago.
+    /// When it last started; 0 if that was long ago.
     pub started_at: Micros,
 }
 
-/// The names that one controller has heard, as the module's small numbers.
+/// The names known to one controller and their numeric ids.
 pub struct NameRegistry {
-    /// Streamers, by their ids.
+    /// Names of the streamers by [`StreamerId`].
     pub streamers: Interner,
     zones: Interner,
     zone_names: Vec<String>,
@@ -59,7 +59,8 @@
 }
 
 impl NameRegistry {
-    /// Reads the settings: the module's, the vocabulary that they begin, and what they say of connections.
+    /// Converts parsed settings to the settings of the decision module, the names that they define, and the
+    /// transport settings.
     pub fn read(raw: &RawSettings) -> Result<(Settings, NameRegistry, TransportSettings), NameError> {
         let mut zones = Interner::default();
         let settings = parse_settings(raw, &mut zones)?;
@@ -77,8 +78,8 @@
         Ok((settings, registry, TransportSettings::of(raw)))
     }
 
-    /// The first kind of names in which the settings of another vocabulary differ from this one's; `None`
-    /// where both are of one deployment.
+    /// The first kind of name whose list in the settings differs between this registry and `other`; `None` if
+    /// both belong to the same deployment.
     pub fn first_difference(&self, other: &NameRegistry) -> Option<&'static str> {
         let lists = [
             ("classes", &self.classes, &other.classes),
@@ -94,28 +95,28 @@
         &self.classes
     }
 
-    /// The names of all zones, where the settings have them; else none.
+    /// The names of all zones; empty if the settings do not list them.
     pub fn zones(&self) -> &[String] {
         &self.zone_names
     }
 
-    /// The number of a zone.
+    /// The id of a zone; assigns one if the name is new.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(self.zones.intern(name))
     }
 
-    /// The name of a zone that was met before.
+    /// The name of a zone, if its id was assigned.
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
         self.zones.resolve(zone.0)
     }
 
-    /// The number of a class.
+    /// The id of a class.
     pub fn class(&self, name: &str) -> Result<ClassId, NameError> {
         let class = self.classes.iter().position(|c| c == name);
         class.map(ClassId).ok_or_else(|| NameError::word("class", name))
     }
 
-    /// Whether the figures of a request are within what the settings name.
+    /// Checks that the numbers in a request are within the cells and rungs of the settings.
     pub fn check_ranges(&self, wanted: &NamedRequest<'_>) -> Result<(), NameError> {
         let within = |what, figure: u64, ok: bool| {
             if ok { Ok(()) } else { Err(NameError::OutOfRange { what, figure }) }
@@ -127,7 +128,7 @@
         within("top", top as u64, top < self.rungs)
     }
 
-    /// A request in the module's terms.
+    /// Converts a request to the decision module's type.
     pub fn request(&mut self, wanted: &NamedRequest<'_>) -> Result<Request, NameError> {
         Ok(Request {
             id: RequestId(wanted.id),
@@ -144,7 +145,7 @@
         })
     }
 
-    /// A line of the server list in the module's terms.
+    /// Converts an entry of the streamer list to the decision module's type.
     pub fn entry(&mut self, line: &NamedEntry<'_>) -> Entry {
         Entry {
             streamer: StreamerId(self.streamers.intern(line.streamer)),
@@ -158,8 +159,8 @@
     }
 }
 
-/// The number of a viewer or title: a hash (FNV-1a), since they come and go without end and a table of them
-/// would grow.
+/// The numeric id of a viewer or title: an FNV-1a hash of the name. Viewers and titles come and go without
+/// limit, so a table of them would grow without bound.
 pub fn hash_name(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
--- a/src/bin/stonewharf-simhost.rs
+++ b/src/bin/stonewharf-simhost.rs
@@ -1,4 +1,5 @@
-//! Speaks the simulator's wire on standard input and output for many controllers. No decisions here.
+//! Runs many controllers for the simulator: reads batches of events from standard input, one line of JSON
+//! each, and writes one line of actions for each to standard output. Contains no decision logic.
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! stonewharf directs media sessions: it admits, places and rates each one on one of many streamers, and
-//! answers each request exactly once. The decisions stand in `stonewharf-core`; here is what speaks to the
-//! world: the platform's codecs, the loop on sockets, and the simulator's wire. `docs/architecture.md` has
-//! the parts.
-#![deny(unsafe_code)] // but for `net::poll`, which says why
+//! stonewharf is a media-session director: it admits each session, places it on one of many streamers, sets
+//! its rate, and answers each request exactly once. The decisions are made in `stonewharf-core`; this crate
+//! handles the I/O: the platform's codecs, the event loop on sockets, and the simulator's wire protocol.
+//! `docs/architecture.md` describes the components.
+#![deny(unsafe_code)] // the only exception is `net::poll`, which documents the reason
 #![warn(missing_docs)]
 
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `stonewharf`; all of it stands in the library.
+//! Entry point of the `stonewharf` program; the implementation is in the library.
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's JSON on one side, the module's types on the other. Translates; decides nothing.
+//! Translates between the simulator's JSON messages and the types of the decision module. Contains no
+//! decision logic.
 use crate::Controller;
 use crate::interface::*;
 use crate::settings::{
@@ -8,32 +9,34 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What can be wrong with a batch.
+/// Why a batch cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// Not JSON, an unknown event, or a missing or mistyped field.
     #[error("bad message: {0}")]
     Json(#[from] serde_json::Error),
-    /// An event for an instance that was never configured.
+    /// An event for a controller that is not configured.
     #[error("event for unknown controller {0}")]
     UnknownController(u64),
-    /// A list number that no `Pool` has set.
-    #[error("list {0} is not known")]
+    /// An `Announce` refers to a list that no `Pool` event has defined.
+    #[error("unknown list {0}")]
     UnknownMemberList(u64),
-    /// A word outside the wire's vocabulary, or unusable settings.
+    /// An unknown name or keyword, or unusable settings.
     #[error(transparent)]
     Name(#[from] NameError),
-    /// Settings that the module refuses.
+    /// Settings that the decision module rejects.
     #[error("unusable settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
+/// A batch of simultaneous events, as one line of input.
 #[derive(Deserialize)]
 struct EventBatch {
     t_us: u64,
     events: Vec<InboundEvent>,
 }
 
+/// One streamer of a list.
 #[derive(Deserialize)]
 struct MemberMessage {
     streamer: String,
@@ -45,6 +48,7 @@
     started_at_us: Option<f64>,
 }
 
+/// A session request, or a session that already plays.
 #[derive(Deserialize)]
 struct SessionMessage {
     controller_id: u64,
@@ -63,6 +67,7 @@
     streamer: Option<String>,
 }
 
+/// An event from the simulator.
 #[derive(Deserialize)]
 #[serde(tag = "t")]
 enum InboundEvent {
@@ -128,6 +133,7 @@
     },
 }
 
+/// An action for the simulator to carry out.
 #[derive(Serialize)]
 #[serde(tag = "t")]
 enum OutboundAction<'a> {
@@ -142,18 +148,20 @@
     NoteDown { controller_id: u64, words: &'a str },
 }
 
+/// The answer to a batch, as one line of output.
 #[derive(Serialize)]
 struct ActionBatch<'a> {
     #[serde(rename = "do")]
     actions: Vec<OutboundAction<'a>>,
 }
 
+/// One controller and the names that it knows.
 struct Instance {
     controller: Controller,
     names: NameRegistry,
 }
 
-/// All instances of one process. They share nothing but the numbered lists of the wire.
+/// All controllers of one process. They share only the numbered streamer lists of the wire protocol.
 #[derive(Default)]
 pub struct ControllerHost {
     instances: BTreeMap<u64, Instance>,
@@ -240,7 +248,7 @@
 }
 
 impl ControllerHost {
-    /// Answers one batch, a line of JSON, with one line of JSON.
+    /// Handles one batch of events, a line of JSON, and returns the actions as one line of JSON.
     pub fn handle_batch(&mut self, line: &str) -> Result<String, WireError> {
         let batch: EventBatch = serde_json::from_str(line)?;
         let now = batch.t_us;
@@ -269,6 +277,7 @@
         Ok(serde_json::to_string(&reply)?)
     }
 
+    /// Handles one event. Appends the actions to `out`; returns the controller's id if it handled the event.
     fn handle_event(
         &mut self,
         now: u64,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! Hand-made settings and events for the tests.
+//! Fixtures for the tests: settings, events, and a harness that drives one controller.
 #![allow(dead_code)]
 pub mod ledger;
 
 use stonewharf::*;
 
+/// One second, in microseconds.
 pub const S: u64 = 1_000_000;
 
 pub fn class(worth: f64, effect: Effect) -> Class {
@@ -88,20 +89,21 @@
     }
 }
 
-/// A controller with its clock, past the doubts of its own start.
+/// A controller and the time on its clock.
 pub struct Harness {
     pub controller: Controller,
     pub now: u64,
 }
 
 impl Harness {
+    /// A controller 20 seconds after its start, when the restrictions of its start-up have ended.
     pub fn new(settings: Settings) -> Self {
         let (mut harness, _) = Harness::at_start(settings, 1);
         harness.now = 20 * S;
         harness
     }
 
-    /// A controller at its start, and what it did with its first list.
+    /// A controller at its start, and its actions on the first list of streamers.
     pub fn at_start(settings: Settings, seed: u64) -> (Self, Vec<Action>) {
         let mut harness =
             Harness { controller: Controller::new(settings, seed, 0).expect("settings"), now: 0 };
@@ -120,7 +122,7 @@
         self.handle(Event::Inbound(request))
     }
 
-    /// Lets a session of each title stand and end.
+    /// Starts and ends one session of each title.
     pub fn serve_each_title(&mut self) {
         for id in 1000..1005 {
             let at = sent_to(&self.request_session(request(id, 0))).expect("sent");
@@ -142,16 +144,19 @@
         self.handle(Event::Note { request: RequestId(id), streamer: at, kind, value })
     }
 
+    /// Advances the clock by `after` microseconds, then fires the periodic timer.
     pub fn fire_timer_after(&mut self, after: u64) -> Vec<Action> {
         self.now += after;
         self.handle(Event::Timer(TimerTag(1)))
     }
 }
 
+/// The streamer that the first set-up request goes to, if any.
 pub fn sent_to(actions: &[Action]) -> Option<StreamerId> {
     actions.iter().find_map(|a| if let Action::Send { streamer, .. } = a { Some(*streamer) } else { None })
 }
 
+/// Whether a request was refused with a hint when to retry.
 pub fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { hold_off_us, .. } if *hold_off_us > 0))
 }
@@ -168,12 +173,12 @@
     vec![class(1.0, Effect::Idempotent)]
 }
 
-/// Changes of rung.
+/// Number of changes of rung.
 pub fn rate_changes(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Rate { .. })).count()
 }
 
-/// Settings of one of many controllers, in a fleet that grows with them.
+/// Settings of one of many controllers, in a fleet whose capacity is proportional to their number.
 pub fn settings_of_controller(index: u32, controllers: u32) -> Settings {
     let weight_kb = 400.0 * f64::from(controllers);
     let (fleet_kb, rack_kb) = (4.0 * weight_kb, 4.0 * weight_kb);
@@ -189,7 +194,7 @@
     }
 }
 
-/// A controller that plays one session, handed over at `rung` at streamer 0.
+/// A controller with one session that already plays at `rung` on streamer 0.
 pub fn harness_with_session(settings: Settings, rung: f64) -> Harness {
     let seed = u64::from(settings.controller_index) + 7;
     let (mut harness, _) = Harness::at_start(settings, seed);
@@ -199,7 +204,7 @@
     harness
 }
 
-/// Settings as they come from outside.
+/// Settings in the form of the settings file.
 pub const SETTINGS_JSON: &str = r#"{"accounts": [], "me": 0, "peers_total": 1, "membership_mode": "pushed", "my_zone": "hall-a",
 "kinds": ["two-core"], "over_share_worth": 0.1, "deductions": {}, "report": {"how": "pull", "names": ["load_share"]},
 "bounds": {"dial_timeout_us": 250000, "keepalive_us": 15000000, "max_attempts": 4, "max_retry_after_us": 1000000,
@@ -211,14 +216,14 @@
   {"name": "seat-view", "importance": 1.0, "target_us": 300000, "deadline_us": 600000, "effect": "idempotent"}],
 "rules": {"cold_from": 0.4, "ramp_time_us": 1000, "fall_multiple": 3.0}}"#;
 
-/// The vocabulary that those settings begin.
+/// The names that [`SETTINGS_JSON`] defines.
 pub fn name_registry() -> settings::NameRegistry {
     let info = serde_json::from_str(SETTINGS_JSON).expect("JSON");
     settings::NameRegistry::read(&info).expect("settings").1
 }
 
-/// Settings under which connections may take long to come up and are used for as long as they last, and streamers
-/// take many set-ups.
+/// Settings under which connections may take long to be established and are reused for as long as they last,
+/// and streamers accept many set-ups.
 pub fn settings_with_long_timeouts() -> String {
     SETTINGS_JSON
         .replace(r#""deductions": {}"#, r#""deductions": {"handshake": 0.001}"#)
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,5 +1,6 @@
-//! Nothing is fitted to one deployment: the deploy file's `run`, started for deployments that are drawn here from
-//! a fixed seed, with 1 to 5 zones, 1 to 6 classes of each effect, tenants or none, and names of no meaning.
+//! Guards against code that fits only one deployment: starts the deploy file's `run` command for deployments
+//! generated from fixed seeds, with 1 to 5 zones, 1 to 6 classes of every effect, with or without tenants,
+//! and random names.
 mod common;
 mod rig;
 use rand_chacha::ChaCha8Rng;
@@ -10,7 +11,7 @@
 
 const EFFECTS: [&str; 3] = ["idempotent", "at_most_once", "deduplicated"];
 
-/// A deployment: its settings, the first hall, the first kind, and its classes.
+/// A generated deployment: its settings and the names in them.
 struct RandomDeployment {
     settings: Value,
     zones: Vec<String>,
@@ -50,8 +51,8 @@
         "accounts": tenants, "me": 0, "peers_total": 1 + seed % 4, "membership_mode": "pushed",
         "my_zone": zones[0], "dcs": zones, "kinds": [kind], "deductions": {"handshake": 0.02 * seed as f64},
         "report": {"how": how, "names": ["x0"]},
-        "bounds": {"max_attempts": 2, "probes": seed.is_multiple_of(2), "retry_after": !seed.is_multiple_of(2),
-            "max_retry_after_us": 700_000},
+        "bounds": {"max_attempts": 2, "probes": seed.is_multiple_of(2),
+            "retry_after": !seed.is_multiple_of(2), "max_retry_after_us": 700_000},
         "family_info": {"cells": 1, "racks": 1, "class_scale": vec![1.0; classes], "fleet_kb": 50_000.0,
             "rack_kb": 50_000.0, "weight_kb": 50_000.0, "highest_rung": vec![rungs - 1; classes],
             "lowest_rung": lowest_rungs, "kind_streams": [90], "ladder_kb": ladder, "ladder_worth": worth,
@@ -59,7 +60,7 @@
         "lanes": lanes,
         "rules": {"cold_from": 0.4, "ramp_time_us": 1000, "fall_multiple": 2.0 + seed as f64 / 4.0},
     });
-    // What only some deployments state.
+    // Optional settings, given for odd seeds only.
     if !seed.is_multiple_of(2) {
         settings["bounds"]["multiplex"] = 1.into();
         settings["bounds"]["keepalive_us"] = 8_000_000.into();
@@ -68,7 +69,7 @@
     RandomDeployment { settings, zones, kind, classes: names }
 }
 
-/// A request of each class is passed to the streamer as it came, and its answer back.
+/// Checks that a request of each class reaches the streamer unchanged and that its answer reaches the viewer.
 fn assert_serves_each_class(deployment: &RandomDeployment) {
     let rig = Rig::deployed(&deployment.settings.to_string(), &deployment.zones[0], &deployment.kind);
     let mut viewer = rig.viewer();
@@ -85,7 +86,7 @@
         let lowest_rung = deployment.settings["family_info"]["lowest_rung"][i].as_u64().expect("a rung");
         assert!(
             set_up_request.contains(&format!("X-Quality: {lowest_rung}\r\n")),
-            "the floor holds over top 0: {set_up_request}"
+            "the class's lowest rung overrides the viewer's top 0: {set_up_request}"
         );
         connection.write_all(&stands(id, "answer")).expect("written");
         assert_eq!(
@@ -116,11 +117,11 @@
     assert_serves_each_class(&random_deployment(5, 4, 8));
 }
 
-/// No word of a deployment stands in what is shipped: zones, classes and kinds come from the settings.
+/// The shipped files contain no name of a deployment: zones, classes and kinds come from the settings.
 #[test]
 fn shipped_configuration_names_no_zone_class_or_kind() {
     for file in ["deploy/operator.hcl", "deploy/balancer.toml"] {
-        let text = std::fs::read_to_string(file).expect("there");
+        let text = std::fs::read_to_string(file).expect("shipped file");
         let settings_lines = text.lines().filter(|l| !l.trim_start().starts_with('#'));
         for line in settings_lines {
             for word in ["hall-a", "hall-b", "seat-view", "two-core", "three-core"] {
--- a/tests/unchanged.rs
+++ b/tests/unchanged.rs
@@ -1,7 +1,8 @@
-//! With no subsystem's limits set, every action is what it was before there were any, to the bit: digests of
-//! all actions over seeded worlds. They were taken before the seam was cut, and are taken again only in a commit
-//! that changes a decision on purpose and says which (last: a director's first turn at a cold streamer is the
-//! next one).
+//! Guards against unintended changes of decisions: compares digests of all actions over seeded scenarios with
+//! recorded ones. The digests were recorded before the [`Limits`] interface was introduced, so without limits
+//! every action must be identical to the bit. They are recorded again only in a commit that changes a
+//! decision on purpose and says which one (last: a director's first turn at a cold streamer is the next
+//! turn, not the open one).
 mod common;
 use common::*;
 use rand_chacha::ChaCha8Rng;
@@ -11,7 +12,7 @@
 
 const STREAMERS: u32 = 12;
 
-/// FNV-1a over the written form of the actions; floats are written in full.
+/// FNV-1a hash of the Debug form of the actions, which prints floats in full precision.
 fn digest(hash: u64, actions: &[Action]) -> u64 {
     let text = format!("{actions:?}");
     text.bytes().fold(hash, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
@@ -38,7 +39,7 @@
     Entry { zone: ZoneId(id % 2), ..entry(id, id % 6) }
 }
 
-/// Plays a seeded world of two zones with failures, restarts and shortages; returns the digest.
+/// Runs a seeded scenario of two zones with failures, restarts and shortages; returns the actions' digest.
 fn scenario_digest(seed: u64, limits: Option<Box<dyn Limits>>) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let mut random_below = |n: u64| rng.next_u64() % n;
@@ -51,12 +52,12 @@
     let mut out = Vec::new();
     let entries = (0..STREAMERS).map(zoned_entry).collect();
     controller.handle(now, Event::List { scope: ListScope::Full, entries }, &mut out);
-    // What is out or plays: where, and whether it plays.
+    // Requests that are being set up or play: their streamer, and whether they play.
     let mut open: BTreeMap<RequestId, (StreamerId, bool)> = BTreeMap::new();
     let mut probes: Vec<StreamerId> = Vec::new();
     for step in 0..3_000u64 {
         now += random_below(50_000);
-        let zone_unreachable = (step / 500) % 3 == 1; // one zone answers nothing for a while
+        let zone_unreachable = (step / 500) % 3 == 1; // one zone is unreachable for a while
         let pick = |n: u64| open.keys().nth(n as usize % open.len().max(1)).copied();
         let event = match random_below(12) {
             0..=4 => {
@@ -156,7 +157,7 @@
     0x149c3a086998124,
 ];
 
-/// Limits that are asked and told, and limit nothing.
+/// Limits that are consulted and notified, but never restrict anything.
 struct NoLimits;
 
 impl Limits for NoLimits {
@@ -179,5 +180,5 @@
     let digests: Vec<u64> = (0..EXPECTED_DIGESTS.len() as u64)
         .map(|seed| scenario_digest(seed, Some(Box::new(NoLimits))))
         .collect();
-    assert_eq!(digests, EXPECTED_DIGESTS, "the seam itself changed a decision");
+    assert_eq!(digests, EXPECTED_DIGESTS, "calling the limits changed a decision");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter through the real binary.
+//! Tests of the simulator's wire protocol through the `stonewharf-simhost` binary.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -19,7 +19,7 @@
         .expect("binary");
     let mut stdin = child.stdin.take().expect("stdin");
     let text: String = lines.iter().map(|l| l.replace('\n', "") + "\n").collect();
-    let _ = stdin.write_all(text.as_bytes()); // it may have stopped reading at a bad line
+    let _ = stdin.write_all(text.as_bytes()); // the process may have exited at a bad line
     drop(stdin);
     child.wait_with_output().expect("output")
 }
@@ -75,7 +75,7 @@
     ]);
     assert!(out.status.success());
     let text = String::from_utf8(out.stdout).unwrap();
-    assert!(!text.lines().nth(1).unwrap().contains("Send"), "the killed instance no longer acts: {text}");
+    assert!(!text.lines().nth(1).unwrap().contains("Send"), "a replaced controller must not act: {text}");
     assert_eq!(text.lines().nth(2), Some(r#"{"do":[]}"#));
 }
 
@@ -104,7 +104,11 @@
             err.contains(expected) && err.lines().count() == 1 && !err.contains("panicked"),
             "{bad}: {err}"
         );
-        assert_eq!(String::from_utf8_lossy(&out.stdout).lines().count(), 1, "only the good line is answered");
+        assert_eq!(
+            String::from_utf8_lossy(&out.stdout).lines().count(),
+            1,
+            "only the valid line is answered"
+        );
     }
 }
 
