--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,5 +1,6 @@
 //! Parses the JSON settings that a controller is started with, and maps the names in them to numeric ids.
 //! Both front ends, the simulator's wire protocol and the real director, use it. Contains no decision logic.
+
 mod names;
 
 use crate::interface::*;
@@ -7,24 +8,29 @@
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
 
+const DEFAULT_DIAL_TIMEOUT_US: Micros = 250_000;
+const DEFAULT_IDLE_TIMEOUT_US: Micros = 15_000_000;
+const DEFAULT_SET_UPS_PER_CONNECTION: u64 = 32;
+const DEFAULT_DEADLINE_US: Micros = 3_000_000;
+
 /// An error in the settings, or a name or value that does not fit them.
 #[derive(Debug, thiserror::Error)]
 pub enum NameError {
     /// A name that is neither a known keyword nor defined by the settings.
-    #[error("unknown {what} {word:?}")]
-    UnknownWord {
+    #[error("unknown {what} {name:?}")]
+    UnknownName {
         /// What the name should denote.
         what: &'static str,
         /// The unknown name.
-        word: String,
+        name: String,
     },
     /// A number outside the range that the settings allow.
-    #[error("{what} {figure} is out of range")]
+    #[error("{what} {value} is out of range")]
     OutOfRange {
         /// What the number denotes.
         what: &'static str,
         /// The number.
-        figure: u64,
+        value: u64,
     },
     /// The settings fail their validation.
     #[error("unusable settings: {0}")]
@@ -32,9 +38,9 @@
 }
 
 impl NameError {
-    /// Error for the unknown name `word` of a `what`.
-    pub fn word(what: &'static str, word: &str) -> Self {
-        NameError::UnknownWord { what, word: word.to_owned() }
+    /// Error for an unknown `name` of a `what`.
+    pub fn unknown_name(what: &'static str, name: &str) -> Self {
+        NameError::UnknownName { what, name: name.to_owned() }
     }
 }
 
@@ -68,6 +74,7 @@
     }
 }
 
+/// A class of sessions.
 #[derive(Clone, PartialEq, Deserialize)]
 struct RawClass {
     name: String,
@@ -79,12 +86,14 @@
     repeat_window_us: Option<f64>,
 }
 
+/// A tenant.
 #[derive(Clone, PartialEq, Deserialize)]
 struct RawTenant {
     name: String,
     quota_per_s: f64,
 }
 
+/// The fleet of streamers, and the ladder of rungs; its lists hold one value per class, kind or rung.
 #[derive(Clone, PartialEq, Deserialize)]
 struct RawFleet {
     cells: u32,
@@ -109,6 +118,7 @@
     switch_s: f64,
 }
 
+/// Limits on attempts and connections, and the optional features of the platform.
 #[derive(Clone, PartialEq, Deserialize)]
 struct RawLimits {
     max_attempts: u32,
@@ -122,6 +132,7 @@
     retry_after: bool,
 }
 
+/// Start-up behaviour of streamers, discovery and the retry budget.
 #[derive(Clone, PartialEq, Deserialize)]
 struct RawRules {
     cold_from: f64,
@@ -133,6 +144,7 @@
     budget_span_us: Option<f64>,
 }
 
+/// The source of load reports.
 #[derive(Clone, PartialEq, Deserialize)]
 struct RawReport {
     how: String,
@@ -141,39 +153,39 @@
 /// Maps strings to numeric ids, assigned in order of first use. An id is never assigned twice.
 #[derive(Default)]
 pub struct Interner {
-    by_name: HashMap<String, u32>,
-    names: HashMap<u32, String>,
+    id_by_name: HashMap<String, u32>,
+    name_by_id: HashMap<u32, String>,
     next: u32,
 }
 
 impl Interner {
     /// The id of a name; assigns one if the name is new.
     pub fn intern(&mut self, name: &str) -> u32 {
-        if let Some(&id) = self.by_name.get(name) {
+        if let Some(&id) = self.id_by_name.get(name) {
             return id;
         }
         let id = self.next;
         self.next += 1;
-        self.by_name.insert(name.to_owned(), id);
-        self.names.insert(id, name.to_owned());
+        self.id_by_name.insert(name.to_owned(), id);
+        self.name_by_id.insert(id, name.to_owned());
         id
     }
 
     /// Removes a name that is not expected again; if it does occur again, it gets a new id.
     pub fn remove(&mut self, id: u32) {
-        if let Some(name) = self.names.remove(&id) {
-            self.by_name.remove(&name);
+        if let Some(name) = self.name_by_id.remove(&id) {
+            self.id_by_name.remove(&name);
         }
     }
 
     /// The id of a name, if one was assigned.
     pub fn get(&self, name: &str) -> Option<u32> {
-        self.by_name.get(name).copied()
+        self.id_by_name.get(name).copied()
     }
 
     /// The name of an id.
     pub fn resolve(&self, id: u32) -> Option<&str> {
-        self.names.get(&id).map(String::as_str)
+        self.name_by_id.get(&id).map(String::as_str)
     }
 }
 
@@ -195,18 +207,18 @@
 /// Converts the settings, with the zone names interned in `zones`.
 fn parse_settings(raw: &RawSettings, zones: &mut Interner) -> Result<Settings, NameError> {
     let fleet = &raw.family_info;
-    let top = fleet.ladder_kb.len().saturating_sub(1);
+    let highest_rung = fleet.ladder_kb.len().saturating_sub(1);
     let mut classes = Vec::new();
     for (i, class) in raw.lanes.iter().enumerate() {
         let effect = match class.effect.as_str() {
             "idempotent" => Effect::Idempotent,
             "at_most_once" => Effect::AtMostOnce,
             "deduplicated" => Effect::Deduplicated,
-            word => return Err(NameError::word("effect", word)),
+            name => return Err(NameError::unknown_name("effect", name)),
         };
         let dedup_scope = match class.dedup_scope.as_deref() {
             None | Some("all") => DedupScope::All,
-            Some(word) if word.contains("cell") => DedupScope::Cell,
+            Some(scope) if scope.contains("cell") => DedupScope::Cell,
             Some(_) => DedupScope::Zone,
         };
         classes.push(Class {
@@ -217,7 +229,7 @@
             repeat_window_us: whole_or_zero(class.repeat_window_us),
             scale: fleet.class_scale.get(i).copied().unwrap_or(1.0),
             lowest_rung: fleet.lowest_rung.get(i).copied().unwrap_or(0),
-            highest_rung: fleet.highest_rung.get(i).copied().unwrap_or(top),
+            highest_rung: fleet.highest_rung.get(i).copied().unwrap_or(highest_rung),
             max_sessions_per_title: fleet.seats.get(i).copied().unwrap_or(0),
             live: fleet.is_live.get(i).copied().unwrap_or(false),
         });
@@ -296,13 +308,13 @@
         let limits = &raw.bounds;
         let or_default = |x: Option<f64>, default: u64| x.map_or(default, |x| whole_or_zero(Some(x))).max(1);
         TransportSettings {
-            dial_timeout_us: or_default(limits.dial_timeout_us, 250_000),
-            idle_timeout_us: or_default(limits.keepalive_us, 15_000_000),
-            set_ups_per_connection: or_default(limits.multiplex, 32) as usize,
+            dial_timeout_us: or_default(limits.dial_timeout_us, DEFAULT_DIAL_TIMEOUT_US),
+            idle_timeout_us: or_default(limits.keepalive_us, DEFAULT_IDLE_TIMEOUT_US),
+            set_ups_per_connection: or_default(limits.multiplex, DEFAULT_SET_UPS_PER_CONNECTION) as usize,
             default_deadlines_us: raw
                 .lanes
                 .iter()
-                .map(|class| or_default(class.deadline_us, 3_000_000))
+                .map(|class| or_default(class.deadline_us, DEFAULT_DEADLINE_US))
                 .collect(),
             handshake_price: raw.deduction("handshake"),
         }
@@ -316,6 +328,6 @@
 
     /// The longest default deadline of any class.
     pub fn longest_deadline_us(&self) -> Micros {
-        self.default_deadlines_us.iter().max().copied().unwrap_or(3_000_000)
+        self.default_deadlines_us.iter().max().copied().unwrap_or(DEFAULT_DEADLINE_US)
     }
 }
--- a/crates/core/src/settings/names.rs
+++ b/crates/core/src/settings/names.rs
@@ -2,6 +2,11 @@
 use super::{Interner, NameError, RawSettings, TransportSettings, parse_settings};
 use crate::interface::*;
 
+/// Offset basis of the 32-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+/// Prime of the 32-bit FNV-1a hash.
+const FNV_PRIME: u32 = 0x0100_0193;
+
 /// A session request as a front end receives it, with names instead of ids.
 #[derive(Default)]
 pub struct NamedRequest<'a> {
@@ -113,48 +118,48 @@
     /// The id of a class.
     pub fn class(&self, name: &str) -> Result<ClassId, NameError> {
         let class = self.classes.iter().position(|c| c == name);
-        class.map(ClassId).ok_or_else(|| NameError::word("class", name))
+        class.map(ClassId).ok_or_else(|| NameError::unknown_name("class", name))
     }
 
     /// Checks that the numbers in a request are within the cells and rungs of the settings.
-    pub fn check_ranges(&self, wanted: &NamedRequest<'_>) -> Result<(), NameError> {
-        let within = |what, figure: u64, ok: bool| {
-            if ok { Ok(()) } else { Err(NameError::OutOfRange { what, figure }) }
+    pub fn check_ranges(&self, request: &NamedRequest<'_>) -> Result<(), NameError> {
+        let require_range = |what, value: u64, ok: bool| {
+            if ok { Ok(()) } else { Err(NameError::OutOfRange { what, value }) }
         };
-        let (home, copies) = (wanted.start_cell, wanted.cells_in_row);
-        within("home", u64::from(home), home < self.cells)?;
-        within("copies", u64::from(copies), (1..=self.cells).contains(&copies))?;
-        let top = wanted.max_rung.unwrap_or(0);
-        within("top", top as u64, top < self.rungs)
+        let (start_cell, cell_count) = (request.start_cell, request.cells_in_row);
+        require_range("home", u64::from(start_cell), start_cell < self.cells)?;
+        require_range("copies", u64::from(cell_count), (1..=self.cells).contains(&cell_count))?;
+        let max_rung = request.max_rung.unwrap_or(0);
+        require_range("top", max_rung as u64, max_rung < self.rungs)
     }
 
     /// Converts a request to the decision module's type.
-    pub fn request(&mut self, wanted: &NamedRequest<'_>) -> Result<Request, NameError> {
+    pub fn request(&mut self, request: &NamedRequest<'_>) -> Result<Request, NameError> {
         Ok(Request {
-            id: RequestId(wanted.id),
-            class: self.class(wanted.class)?,
-            tenant: wanted.tenant.and_then(|t| self.tenants.iter().position(|n| n == t)).map(TenantId),
-            title: TitleId(hash_name(wanted.title)),
-            viewer: ViewerId(hash_name(wanted.viewer)),
-            start_cell: wanted.start_cell,
-            cells_in_row: wanted.cells_in_row,
-            max_rung: wanted.max_rung.unwrap_or(usize::MAX),
-            left_us: wanted.left_us,
-            returned: wanted.returned,
+            id: RequestId(request.id),
+            class: self.class(request.class)?,
+            tenant: request.tenant.and_then(|t| self.tenants.iter().position(|n| n == t)).map(TenantId),
+            title: TitleId(hash_name(request.title)),
+            viewer: ViewerId(hash_name(request.viewer)),
+            start_cell: request.start_cell,
+            cells_in_row: request.cells_in_row,
+            max_rung: request.max_rung.unwrap_or(usize::MAX),
+            left_us: request.left_us,
+            returned: request.returned,
             beside: 0,
         })
     }
 
     /// Converts an entry of the streamer list to the decision module's type.
-    pub fn entry(&mut self, line: &NamedEntry<'_>) -> Entry {
+    pub fn entry(&mut self, entry: &NamedEntry<'_>) -> Entry {
         Entry {
-            streamer: StreamerId(self.streamers.intern(line.streamer)),
-            zone: ZoneId(self.zones.intern(line.zone)),
-            kind: self.kinds.iter().position(|k| k == line.kind).map(KindId),
-            cell: line.cell,
-            standing: line.standing,
-            weight: line.weight.unwrap_or(1.0),
-            started_at: Some(line.started_at).filter(|&at| at > 0),
+            streamer: StreamerId(self.streamers.intern(entry.streamer)),
+            zone: ZoneId(self.zones.intern(entry.zone)),
+            kind: self.kinds.iter().position(|k| k == entry.kind).map(KindId),
+            cell: entry.cell,
+            standing: entry.standing,
+            weight: entry.weight.unwrap_or(1.0),
+            started_at: Some(entry.started_at).filter(|&at| at > 0),
         }
     }
 }
@@ -162,5 +167,5 @@
 /// The numeric id of a viewer or title: an FNV-1a hash of the name. Viewers and titles come and go without
 /// limit, so a table of them would grow without bound.
 pub fn hash_name(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
+    name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME))
 }
--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -109,7 +109,7 @@
     ) -> Result<Self, NodeError> {
         let clock = Clock::start();
         let now = clock.now();
-        let (settings, mut names, carriage) = NameRegistry::read(&config.settings)?;
+        let (settings, mut names, transport) = NameRegistry::read(&config.settings)?;
         let mut fleet = None;
         let (mut agrees, mut outlives) = (None, None);
         let operator = match file {
@@ -193,14 +193,14 @@
         };
         let viewers = Viewers::on(&mut shared, listener, sockets / 2)
             .map_err(|why| NodeError::Listen(config.listen, why))?;
-        let duty = Duty::new(grace_us(carriage.longest_deadline_us()), config.inherited.is_some());
-        let streamers = Streamers::new(carriage.clone(), sockets / 2);
+        let duty = Duty::new(grace_us(transport.longest_deadline_us()), config.inherited.is_some());
+        let streamers = Streamers::new(transport.clone(), sockets / 2);
         let bulletin = Bulletin::new(config.bulletin, config.known.no);
         let mut node = Node {
             clock,
             director,
             names,
-            carriage,
+            transport,
             shared,
             signals,
             parts: Parts { viewers, streamers, bulletin, door, peers },
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -38,8 +38,8 @@
     fn wanted(&mut self, link: ViewerLink, set_up: SetUp) {
         let id = RequestId(set_up.session);
         let class = self.names.class(&set_up.class);
-        let usual = class.ok().and_then(|c| self.carriage.default_deadlines_us.get(c.0)).copied();
-        let most = self.carriage.longest_deadline_us().saturating_mul(WAIT_MOST);
+        let usual = class.ok().and_then(|c| self.transport.default_deadlines_us.get(c.0)).copied();
+        let most = self.transport.longest_deadline_us().saturating_mul(WAIT_MOST);
         let wait_us = set_up.wait_ms.map(|ms| ms.saturating_mul(1000)).or(usual).unwrap_or(0).min(most);
         let wanted = NamedRequest {
             id: set_up.session,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -55,7 +55,7 @@
     clock: Clock,
     director: Director,
     names: NameRegistry,
-    carriage: TransportSettings,
+    transport: TransportSettings,
     shared: Shared,
     signals: Signals,
     parts: Parts,
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -61,16 +61,16 @@
     links: BTreeMap<Token, Link>,
     /// Connections that became ready to be written to in this turn.
     writable: BTreeSet<Token>,
-    carriage: TransportSettings,
+    transport: TransportSettings,
     most: usize,
     last_test: u64,
 }
 
 impl Streamers {
     /// None yet; so many connections at most.
-    pub fn new(carriage: TransportSettings, most: usize) -> Self {
+    pub fn new(transport: TransportSettings, most: usize) -> Self {
         let (pools, links, writable) = Default::default();
-        Streamers { pools, links, writable, carriage, most, last_test: 0 }
+        Streamers { pools, links, writable, transport, most, last_test: 0 }
     }
 
     /// Begins to look after the connections.
@@ -238,8 +238,8 @@
             link.used_at = shared.now;
             link.tests.insert(id);
             link.queue.push_back(Saying::Word(rtsp::load_test(id), None));
-            let dialing = if link.up { 0 } else { self.carriage.dial_timeout_us };
-            shared.wake(self.carriage.dial_timeout_us + dialing, Due::Probe(token, id));
+            let dialing = if link.up { 0 } else { self.transport.dial_timeout_us };
+            shared.wake(self.transport.dial_timeout_us + dialing, Due::Probe(token, id));
         }
         self.pump(shared, token);
     }
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -23,12 +23,12 @@
     ) -> Result<Token, Unsent> {
         let pool = self.pools.get(&streamer).ok_or(Unsent::Withdrawn)?;
         // Where new connections have a price, one is used as long as nothing speaks against its streamer.
-        let trusted = self.carriage.handshake_price > 0.0 && pool.failing_since.is_none();
+        let trusted = self.transport.handshake_price > 0.0 && pool.failing_since.is_none();
         let fits = |l: &&Link| {
-            let lately = l.used_at.saturating_add(self.carriage.connection_reuse_us()) > shared.now;
+            let lately = l.used_at.saturating_add(self.transport.connection_reuse_us()) > shared.now;
             let heard = trusted || l.heard_at.saturating_add(HEARD_US) > shared.now;
             let apart = session.is_none_or(|s| !l.given_up.contains(&s) && !l.open.contains_key(&s));
-            let room = l.open.len() < self.carriage.set_ups_per_connection
+            let room = l.open.len() < self.transport.set_ups_per_connection
                 && l.queue.len() < QUEUE_MOST
                 && l.given_up.len() < GIVEN_UP_MOST;
             apart && room && (!l.up || (lately && heard))
@@ -91,7 +91,7 @@
         };
         self.links.insert(token, link);
         shared.counters.streamer_connections += 1;
-        shared.wake(self.carriage.dial_timeout_us, Due::Dial(token));
+        shared.wake(self.transport.dial_timeout_us, Due::Dial(token));
         Ok(token)
     }
 
@@ -145,7 +145,7 @@
                 && l.tests.is_empty()
                 && l.queue.is_empty()
                 && l.line.unwritten() == 0
-                && l.used_at.saturating_add(self.carriage.idle_timeout_us / 5 * 4) <= now
+                && l.used_at.saturating_add(self.transport.idle_timeout_us / 5 * 4) <= now
                 && standing_at(l.streamer) == 0
         };
         let idle: Vec<Token> = self.links.values().filter(idle).map(|l| l.line.token()).collect();
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -178,7 +178,7 @@
         "ResetByPeer" => Outcome::Reset,
         "Canceled" => Outcome::Canceled,
         "Ignored" => Outcome::Ignored,
-        _ => return Err(NameError::word("outcome", &code).into()),
+        _ => return Err(NameError::unknown_name("outcome", &code).into()),
     })
 }
 
@@ -207,7 +207,7 @@
             "U" => Standing::Up,
             "L" => Standing::Draining,
             "D" => Standing::Gone,
-            word => return Err(NameError::word("standing", word)),
+            state => return Err(NameError::unknown_name("standing", state)),
         };
         Ok(self.names.entry(&NamedEntry {
             streamer: &member.streamer,
@@ -324,7 +324,7 @@
                     "full" => ListScope::Full,
                     "cached" => ListScope::Cached,
                     "failed" => ListScope::Failed,
-                    _ => return Err(NameError::word("scope", &scope).into()),
+                    _ => return Err(NameError::unknown_name("scope", &scope).into()),
                 };
                 let mut entries = Vec::new();
                 if scope != ListScope::Failed {
