--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -20,7 +20,7 @@
         racks,
         fleet_kb: f64::from(streamers) * 3_000.0,
         rack_kb: 24_000.0,
-        reports: ReportMode::ProbeOnly,
+        report_mode: ReportMode::ProbeOnly,
         ..settings(vec![class(2.0, Effect::AtMostOnce), class(1.0, Effect::Idempotent)])
     };
     let mut controller = Controller::new(set, 5, 0).expect("settings");
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -139,17 +139,17 @@
     /// Maximum number of streams that a streamer of each kind runs.
     pub max_streams_by_kind: Vec<u32>,
     /// Link demand, relative to capacity, from which a streamer rejects set-ups; 0 = never.
-    pub full_from: f64,
+    pub reject_from_link_demand: f64,
     /// Load that a further viewer of a live title adds, as a fraction of the rate; 1 = nothing is shared.
-    pub shared_adds: f64,
+    pub shared_viewer_load: f64,
     /// Cost of a change of rung, in seconds of the class's worth.
-    pub switch_s: f64,
+    pub rung_change_cost_s: f64,
     /// Delay of notes on delivery.
-    pub seen_after_us: Micros,
+    pub note_delay_us: Micros,
     /// Interval between notes on link use; 0 = there are none.
-    pub reports_every_us: Micros,
+    pub note_interval_us: Micros,
     /// The source of load reports.
-    pub reports: ReportMode,
+    pub report_mode: ReportMode,
     /// Whether probes are permitted.
     pub probes: bool,
     /// Maximum number of attempts for one request.
@@ -157,19 +157,19 @@
     /// The longest retry delay that clients obey; 0 = retry hints do not reach clients.
     pub max_hold_off_us: Micros,
     /// Fraction of its capacity that a cold streamer starts with at least.
-    pub cold_from: f64,
+    pub cold_capacity_fraction: f64,
     /// Time after its start by which a streamer is warm.
     pub warm_up_us: Micros,
     /// Multiple of its present capacity at which a streamer fails.
-    pub fall_multiple: f64,
+    pub overload_failure_multiple: f64,
     /// Whether discovery answers only on request.
     pub discovery_on_request: bool,
     /// Longest time that a controller may go without asking discovery.
-    pub ask_within_us: Micros,
+    pub max_discovery_interval_us: Micros,
     /// The budget of retries, if one is set.
     pub attempt_budget: Option<crate::AttemptBudget>,
     /// This controller's zone.
-    pub my_zone: ZoneId,
+    pub zone: ZoneId,
     /// Price of a session that crosses zones, as a fraction of its worth.
     pub cross_zone_price: f64,
     /// Price of one probe, as a fraction of a session's worth.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,11 +21,12 @@
 //!     }],
 //!     ladder_kb: vec![300.0, 600.0, 1200.0], ladder_worth: vec![0.3, 0.6, 1.0],
 //!     fleet_kb: 10_000.0, rack_kb: 8_000.0, racks: 1, cells: 1, weight_kb: 10_000.0,
-//!     max_streams_by_kind: vec![30], full_from: 1.0, shared_adds: 1.0, switch_s: 0.5,
-//!     seen_after_us: 1_000_000, reports_every_us: 0, reports: ReportMode::Silent, probes: false,
-//!     max_attempts: 4, max_hold_off_us: 2_000_000, cold_from: 0.5, warm_up_us: 10_000_000,
-//!     fall_multiple: 2.0, discovery_on_request: false, ask_within_us: 10_000_000, attempt_budget: None,
-//!     my_zone: ZoneId(0), cross_zone_price: 0.0, probe_price: 0.0, move_price: 0.2,
+//!     max_streams_by_kind: vec![30], reject_from_link_demand: 1.0, shared_viewer_load: 1.0,
+//!     rung_change_cost_s: 0.5, note_delay_us: 1_000_000, note_interval_us: 0,
+//!     report_mode: ReportMode::Silent, probes: false, max_attempts: 4, max_hold_off_us: 2_000_000,
+//!     cold_capacity_fraction: 0.5, warm_up_us: 10_000_000, overload_failure_multiple: 2.0,
+//!     discovery_on_request: false, max_discovery_interval_us: 10_000_000, attempt_budget: None,
+//!     zone: ZoneId(0), cross_zone_price: 0.0, probe_price: 0.0, move_price: 0.2,
 //!     handshake_price: 0.0, connection_reuse_us: 9_000_000,
 //! };
 //! let mut controller = Controller::new(settings, 7, 0)?;
--- a/crates/core/src/rules/health.rs
+++ b/crates/core/src/rules/health.rs
@@ -36,7 +36,9 @@
     /// The turn of the common clock at a streamer, and whether it is this controller's. Each is for as many
     /// controllers as the pace allows; COLD_PACE leaves room for the one turn more that any second touches.
     pub(super) fn turn(&self, entry: &Entry) -> (u64, bool) {
-        let places = self.set.fall_multiple * self.set.max_streams(entry) * self.set.cold_from;
+        let places = self.set.overload_failure_multiple
+            * self.set.max_streams(entry)
+            * self.set.cold_capacity_fraction;
         let pace = COLD_PACE * places / (self.set.warm_up_us as f64 / SECOND).max(1e-3);
         let group = (pace * TURN_S).max(1.0) as u64;
         // Neighbouring cells have their turns in turn, lest all holders of a title be another's at once.
@@ -85,8 +87,12 @@
         match self.streamers.get_mut(&at) {
             // It may come back cold before discovery says so.
             Some(s) if matches!(how, Outcome::Reset | Outcome::ConnectError) => s.cold_since = Some(now),
-            Some(s) if how == Outcome::QueueFull && self.set.full_from > 0.0 => {
-                s.link.observe(now, s.link.seen.map_or(0.0, |x| x.1).max(self.set.full_from), BELIEF);
+            Some(s) if how == Outcome::QueueFull && self.set.reject_from_link_demand > 0.0 => {
+                s.link.observe(
+                    now,
+                    s.link.seen.map_or(0.0, |x| x.1).max(self.set.reject_from_link_demand),
+                    BELIEF,
+                );
             }
             _ => {}
         }
--- a/crates/core/src/rules/load.rs
+++ b/crates/core/src/rules/load.rs
@@ -84,7 +84,7 @@
 
     /// Spread of a use that is but a guess by own sessions: no load is asked for, and nothing was heard.
     pub(super) fn spread(&self, g: &Gauge) -> f64 {
-        let told = self.set.reports != ReportMode::ProbeOnly || self.set.probes || g.fresh(self.now);
+        let told = self.set.report_mode != ReportMode::ProbeOnly || self.set.probes || g.fresh(self.now);
         if told { 0.0 } else { self.own_sessions().max(1.0).sqrt().recip() }
     }
 
@@ -110,7 +110,7 @@
 
     pub(super) fn note(&mut self, of: RequestId, id: StreamerId, told: (NoteKind, f64), out: &mut Out) {
         let (kind, value) = told;
-        let (now, late) = (self.now, self.now.saturating_sub(self.set.seen_after_us));
+        let (now, late) = (self.now, self.now.saturating_sub(self.set.note_delay_us));
         let setting_up = self.sessions.get(&of).is_some_and(|s| s.changed_at + FRESH_US / 10 > now);
         let at = if setting_up { now } else { late };
         match kind {
--- a/crates/core/src/rules/mod.rs
+++ b/crates/core/src/rules/mod.rs
@@ -156,7 +156,7 @@
         settings.check()?;
         let (classes, ladder) = (settings.classes.len(), &settings.ladder_kb);
         let n = f64::from(settings.controllers);
-        let pays = settings.reports != ReportMode::Silent && settings.probe_price < PROBE_WORTH;
+        let pays = settings.report_mode != ReportMode::Silent && settings.probe_price < PROBE_WORTH;
         Ok(Controller {
             rng: Some(ChaCha8Rng::seed_from_u64(seed)),
             now,
@@ -271,7 +271,7 @@
             self.meters[session.request.class.0].watched_s += passed;
         }
         self.tenants.iter_mut().for_each(|count| *count *= (-passed / TENANT_S).exp());
-        let due = self.asked_at.is_none_or(|at| at + self.set.ask_within_us / 2 < now);
+        let due = self.asked_at.is_none_or(|at| at + self.set.max_discovery_interval_us / 2 < now);
         if self.set.discovery_on_request && due {
             self.asked_at = Some(now);
             out.push(Action::Subscribe);
--- a/crates/core/src/rules/placement.rs
+++ b/crates/core/src/rules/placement.rs
@@ -96,7 +96,7 @@
         let rack = self.set.rack_of(&s.entry);
         let uplink = self.rack_load(rack) + self.racks.get(&rack).map_or(0.0, |g| rate / g.cap_kb);
         let link = self.link_load(s) + rate / s.link.cap_kb;
-        let away = if s.entry.zone == self.set.my_zone { 0.0 } else { self.set.cross_zone_price };
+        let away = if s.entry.zone == self.set.zone { 0.0 } else { self.set.cross_zone_price };
         let again = if session.tried.contains(&s.entry.streamer) { 1.0 } else { 0.0 };
         let tier = self.limits.tier_cost(&session.request, s.entry.streamer);
         let fresh = if self.now < s.linked_until { 0.0 } else { self.set.handshake_price };
@@ -131,7 +131,7 @@
     pub(super) fn look_around(&mut self, out: &mut Out) {
         let now = self.now;
         let room = self.told.iter().all(|t| t.1 < RAISE) && self.chance() < LOOK;
-        while room && self.set.probes && self.set.reports == ReportMode::ProbeOnly && self.probes >= 1.0 {
+        while room && self.set.probes && self.set.report_mode == ReportMode::ProbeOnly && self.probes >= 1.0 {
             let heard = |s: &Streamer| s.link.seen.map_or(0, |x| x.0).max(s.probed_at);
             let old = |s: &Streamer| !s.probe_out && heard(s) + SEEN_QUIET_US < now;
             let room = |s: &&Streamer| old(s) && !self.steps(s, true, SEEN_QUIET_US).is_empty();
@@ -211,7 +211,7 @@
                 self.step(false, rack, None, excess(g, load), out);
             } else if load < raise {
                 // Who had to ask has the news alone, but for those who ask before its own step shows.
-                let asks = self.set.probes && self.set.reports == ReportMode::ProbeOnly;
+                let asks = self.set.probes && self.set.report_mode == ReportMode::ProbeOnly;
                 let part = part(g, load).max(if asks { 0.5_f64.min(ASKERS * part(g, load)) } else { 0.0 });
                 self.step(true, rack, None, (raise - load) * g.cap_kb * part, out);
             }
--- a/crates/halls/src/limits.rs
+++ b/crates/halls/src/limits.rs
@@ -172,7 +172,7 @@
     fn tier(&self, class: usize, hall: ZoneId) -> u32 {
         match self.order.get(class).filter(|order| !order.is_empty()) {
             Some(order) => order.get(&hall).copied().unwrap_or(order.len() as u32),
-            None => u32::from(self.own.prefer == Prefer::Home && hall != self.set.my_zone),
+            None => u32::from(self.own.prefer == Prefer::Home && hall != self.set.zone),
         }
     }
 
@@ -187,7 +187,7 @@
         if !self.is_settled(hall) {
             return false;
         }
-        let away = hall != self.set.my_zone && !self.is_settled(self.set.my_zone);
+        let away = hall != self.set.zone && !self.is_settled(self.set.zone);
         away || self.mark(request.id).spills || self.tier(request.class.0, hall) > 0
     }
 
@@ -199,8 +199,7 @@
     fn restate(&mut self) {
         let all: f64 = self.links_kb.values().sum::<f64>().max(1.0);
         // The far halls: those that stand, or while all do, those that are not the own.
-        let far =
-            |zone: &ZoneId| if self.settled { *zone != self.set.my_zone } else { self.is_settled(*zone) };
+        let far = |zone: &ZoneId| if self.settled { *zone != self.set.zone } else { self.is_settled(*zone) };
         let open: f64 = self.links_kb.iter().filter(|(zone, _)| far(zone)).map(|(_, kb)| kb).sum();
         // Who sends across depends on which directors live, which nobody knows: all take even parts, so that
         // the sum never passes the limit and falls short of it by the parts of those that are lost.
@@ -231,7 +230,7 @@
                 up,
                 started_at: entry.started_at,
             };
-            let (warm, cold) = (self.set.warm_up_us, self.set.cold_from);
+            let (warm, cold) = (self.set.warm_up_us, self.set.cold_capacity_fraction);
             let hall = self.halls.entry(entry.zone).or_insert_with(|| Hall::new(now, warm, cold));
             if !up {
                 hall.left(entry.streamer);
--- a/crates/halls/tests/terms.rs
+++ b/crates/halls/tests/terms.rs
@@ -31,8 +31,8 @@
         cells: 2,
         weight_kb: 1_000.0,
         warm_up_us: 10 * S,
-        cold_from: 0.5,
-        my_zone: A,
+        cold_capacity_fraction: 0.5,
+        zone: A,
         ..Settings::default()
     };
     let class = |name: &str| ["replay", "seat-view"].iter().position(|n| *n == name);
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -250,7 +250,7 @@
     /// A director at its start, with the halls behind its module.
     fn core(&mut self, me: usize, hall: usize) -> Result<(Director, SharedHalls), SettingsError> {
         let mut settings = self.world.settings.clone();
-        (settings.controller_index, settings.my_zone) = (me as u32, ZoneId(hall as u32));
+        (settings.controller_index, settings.zone) = (me as u32, ZoneId(hall as u32));
         let names = ["replay", "seat-view"];
         let class = |name: &str| names.iter().position(|n| *n == name);
         let zone =
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -101,22 +101,22 @@
             cells: count as u32,
             weight_kb: LINK_KB,
             max_streams_by_kind: vec![STREAMS],
-            full_from: 1.2,
-            shared_adds: 1.0,
-            switch_s: 0.6,
-            seen_after_us: SECOND,
-            reports_every_us: 0,
-            reports: ReportMode::ProbeOnly,
+            reject_from_link_demand: 1.2,
+            shared_viewer_load: 1.0,
+            rung_change_cost_s: 0.6,
+            note_delay_us: SECOND,
+            note_interval_us: 0,
+            report_mode: ReportMode::ProbeOnly,
             probes: true,
             max_attempts: 4,
             max_hold_off_us: SECOND,
-            cold_from: 0.4,
+            cold_capacity_fraction: 0.4,
             warm_up_us: 12 * SECOND,
-            fall_multiple: 3.0,
+            overload_failure_multiple: 3.0,
             discovery_on_request: false,
-            ask_within_us: 10 * SECOND,
+            max_discovery_interval_us: 10 * SECOND,
             attempt_budget: None,
-            my_zone: ZoneId(0),
+            zone: ZoneId(0),
             cross_zone_price: 0.02,
             probe_price: 0.01,
             handshake_price: 0.0,
@@ -144,7 +144,7 @@
     pub(crate) fn warmth(&self, i: usize, now: Micros) -> f64 {
         let Some(at) = self.streamers[i].started_at else { return 1.0 };
         let done = now.saturating_sub(at) as f64 / self.settings.warm_up_us as f64;
-        (self.settings.cold_from + (1.0 - self.settings.cold_from) * done).min(1.0)
+        (self.settings.cold_capacity_fraction + (1.0 - self.settings.cold_capacity_fraction) * done).min(1.0)
     }
 
     /// Set-ups that a cold streamer may be sent in a window; `None` where it is warm.
@@ -152,13 +152,13 @@
         let warm_s = self.settings.warm_up_us as f64 / SECOND as f64;
         let at = self.streamers[i].started_at.filter(|at| now < at + self.settings.warm_up_us)?;
         let pace = f64::from(STREAMS) / warm_s * self.warmth(i, now.max(at));
-        Some(self.settings.fall_multiple * pace * WINDOW as f64 / SECOND as f64)
+        Some(self.settings.overload_failure_multiple * pace * WINDOW as f64 / SECOND as f64)
     }
 
     /// Whether it turns a set-up away.
     pub(crate) fn full(&self, i: usize) -> bool {
         let s = &self.streamers[i];
-        s.streams >= STREAMS || s.asked_kb > self.settings.full_from * s.link_kb
+        s.streams >= STREAMS || s.asked_kb > self.settings.reject_from_link_demand * s.link_kb
     }
 
     /// Books a session at a streamer (`streams` 1), its end (-1), or a change of its rate (0).
--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -116,7 +116,7 @@
             Some(file) => {
                 let own = operator(file, Some(&names))?;
                 if let Some(set) = own.fleet.clone().filter(|set| set.enabled) {
-                    let hall = names.zone_name(settings.my_zone).unwrap_or_default().to_owned();
+                    let hall = names.zone_name(settings.zone).unwrap_or_default().to_owned();
                     fleet = Some((fleet_of(&set, config, &hall, digest(&own), now)?, set));
                 }
                 outlives = own.continuity.clone().filter(|set| set.enabled);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -124,7 +124,7 @@
 #[test]
 fn the_module_is_told_the_whole_time_and_attempts_end_before_it() {
     let mut set = settings(vec![class(1.0, Effect::AtMostOnce)]);
-    (set.probes, set.reports) = (true, ReportMode::ProbeOnly);
+    (set.probes, set.report_mode) = (true, ReportMode::ProbeOnly);
     let mut d = Director::new(set, 1, 0).expect("settings");
     let entries = (0..4).map(|i| entry(i, i)).collect();
     turn(&mut d, 0, Input::List { scope: ListScope::Full, entries });
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -34,7 +34,7 @@
     let ups = |probe_price: f64| -> usize {
         let set = |me| {
             let full = Settings { rack_kb: 228_000.0, ..settings_of_controller(me, 200) };
-            Settings { probes: true, probe_price, reports: ReportMode::ProbeOnly, ..full }
+            Settings { probes: true, probe_price, report_mode: ReportMode::ProbeOnly, ..full }
         };
         let up = |me: u32| {
             let mut b = harness_with_session(set(me), 2.0);
@@ -60,7 +60,7 @@
             rack_kb: own / 0.7,
             ..settings_of_controller(0, 100)
         };
-        let set = Settings { weight_kb: own, reports: ReportMode::ProbeOnly, ..set };
+        let set = Settings { weight_kb: own, report_mode: ReportMode::ProbeOnly, ..set };
         let (mut b, _) = Harness::at_start(set, 1);
         for id in 0..sessions {
             b.handle(Event::Preexisting(request(id, 0), StreamerId(id as u32 % 4)));
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_request_waits_for_a_probe_but_not_for_a_lost_one() {
-    let set = Settings { probes: true, reports: ReportMode::ProbeOnly, ..settings_of_controller(0, 50) };
+    let set = Settings { probes: true, report_mode: ReportMode::ProbeOnly, ..settings_of_controller(0, 50) };
     let mut b = Harness::new(set);
     let out = b.request_session(request(1, 0));
     let asked = out.iter().find_map(|a| if let Action::Probe(at) = a { Some(*at) } else { None });
@@ -138,7 +138,12 @@
 #[test]
 fn where_no_load_is_asked_for_a_few_own_sessions_too_many_refuse_nobody() {
     let turned_away = |reports| {
-        let set = Settings { probes: true, probe_price: 0.08, reports, ..settings_of_controller(0, 100) };
+        let set = Settings {
+            probes: true,
+            probe_price: 0.08,
+            report_mode: reports,
+            ..settings_of_controller(0, 100)
+        };
         let (mut b, _) = Harness::at_start(set, 1);
         for id in 0..4 {
             b.handle(Event::Preexisting(request(id, 0), StreamerId(id as u32)));
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -25,7 +25,7 @@
     let budget = AttemptBudget { free: 3.0, per_request: 0.2, span_us: 5 * S, delay_us: 0 };
     let set = Settings {
         attempt_budget: (seed.is_multiple_of(2)).then_some(budget),
-        reports: if seed.is_multiple_of(3) { ReportMode::ProbeOnly } else { ReportMode::InAnswers },
+        report_mode: if seed.is_multiple_of(3) { ReportMode::ProbeOnly } else { ReportMode::InAnswers },
         probes: seed.is_multiple_of(3),
         ..settings(classes.clone())
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -238,7 +238,7 @@
     let asked = |probe_price| {
         let set = Settings {
             probes: true,
-            reports: ReportMode::ProbeOnly,
+            report_mode: ReportMode::ProbeOnly,
             probe_price,
             ..settings_of_controller(0, 100)
         };
--- a/tests/unchanged.rs
+++ b/tests/unchanged.rs
@@ -23,7 +23,8 @@
     paid.lowest_rung = 1;
     Settings {
         controllers: [1, 3, 100][seed as usize % 3],
-        reports: [ReportMode::ProbeOnly, ReportMode::InAnswers, ReportMode::Silent][seed as usize / 3 % 3],
+        report_mode: [ReportMode::ProbeOnly, ReportMode::InAnswers, ReportMode::Silent]
+            [seed as usize / 3 % 3],
         probes: seed.is_multiple_of(2),
         racks: 2,
         cells: 6,
