--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -219,7 +219,7 @@
         };
         config.known.items.iter().for_each(|notice| node.notice(notice, true));
         node.parts.bulletin.look(&mut node.shared);
-        node.parts.streamers.begin(&mut node.shared);
+        node.parts.streamers.start(&mut node.shared);
         Ok(node)
     }
 }
--- a/src/net/duty.rs
+++ b/src/net/duty.rs
@@ -176,7 +176,7 @@
         self.parts.viewers.advance_closing(&mut self.shared, &self.director);
         let Phase::Closing { since } = self.phase else { return };
         let over = since.saturating_add(CLOSING_US) <= self.shared.now;
-        let left = self.parts.viewers.held() == 0 && !self.parts.streamers.writes();
+        let left = self.parts.viewers.held() == 0 && !self.parts.streamers.has_unwritten();
         if left || over && !self.parts.viewers.writes() {
             self.phase = Phase::Done;
         }
@@ -196,7 +196,7 @@
         self.parts.streamers.flush(&mut self.shared);
         self.parts.peers.iter_mut().for_each(|peers| peers.leave(&mut self.shared));
         self.parts.viewers.close_all(&self.shared);
-        if self.parts.viewers.writes() || self.parts.streamers.writes() {
+        if self.parts.viewers.writes() || self.parts.streamers.has_unwritten() {
             info!(self.shared.log, "waits for its last messages to be written");
         }
         self.shared.wake(CLOSING_US, Due::Closing);
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -215,7 +215,7 @@
                 Deed::Settle(id, streamer) => {
                     if let Some(at) = self.names.streamers.get(&streamer).map(StreamerId) {
                         let (id, word) = (RequestId(id), rtsp::release(RequestId(id)));
-                        self.parts.streamers.word(&mut self.shared, at, word, Some(id));
+                        self.parts.streamers.send_control(&mut self.shared, at, word, Some(id));
                     }
                 }
                 Deed::Yield(id) => self.shared.inputs.push(Input::ViewerLeft(NOBODY, RequestId(id))),
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -106,7 +106,7 @@
             let listed: Vec<_> = entries.iter().map(|(e, _)| (e.streamer, anew(e))).collect();
             self.estate_listed(self.shared.now, &listed);
         }
-        self.parts.streamers.list(&mut self.shared, scope, &entries);
+        self.parts.streamers.apply_list(&mut self.shared, scope, &entries);
         for (entry, _) in entries.iter().filter(|e| e.0.standing == Standing::Gone) {
             self.names.streamers.remove(entry.streamer.0);
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -224,16 +224,18 @@
                 self.parts.viewers.release(shared, link, viewer::release(id, cause));
             }
             Output::MoveOff(link, id) => self.parts.viewers.release(shared, link, viewer::move_off(id)),
-            Output::SetUp(set_up) => self.parts.streamers.set_up(shared, set_up),
-            Output::GiveUp(streamer, attempt) => self.parts.streamers.give_up(shared, streamer, attempt),
+            Output::SetUp(set_up) => self.parts.streamers.send_set_up(shared, set_up),
+            Output::GiveUp(streamer, attempt) => {
+                self.parts.streamers.cancel_attempt(shared, streamer, attempt)
+            }
             Output::Drop(streamer, id) => {
-                self.parts.streamers.word(shared, streamer, rtsp::release(id), Some(id))
+                self.parts.streamers.send_control(shared, streamer, rtsp::release(id), Some(id))
             }
             Output::Rung(streamer, id, rung) => {
-                self.parts.streamers.word(shared, streamer, rtsp::rung(id, rung), Some(id));
+                self.parts.streamers.send_control(shared, streamer, rtsp::set_rung(id, rung), Some(id));
             }
             Output::Probe(streamer) => self.parts.streamers.probe(shared, streamer),
-            Output::Attend(streamer) => self.parts.streamers.attend(shared, streamer),
+            Output::Attend(streamer) => self.parts.streamers.ensure_connected(shared, streamer),
             Output::Wake(at, due) => shared.deadlines.set(at, Due::Core(due)),
             Output::Log(words) => info!(shared.log, "{words}"),
         }
--- a/src/net/streamers/exchange.rs
+++ b/src/net/streamers/exchange.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether something is still to be written on a connection that is up.
-    pub fn writes(&self) -> bool {
+    pub fn has_unwritten(&self) -> bool {
         self.links.values().any(|l| l.up && (l.line.unwritten() > 0 || !l.queue.is_empty()))
     }
 
@@ -121,7 +121,7 @@
                     shared.inputs.push(Input::GaveUp(attempt));
                 }
                 Some(Saying::GiveUp(attempt)) => {
-                    link.line.put(&rtsp::give_up(attempt.session));
+                    link.line.put(&rtsp::cancel(attempt.session));
                     link.writing = Some(Writing::GiveUp(attempt));
                 }
                 Some(Saying::SetUp { attempt, rung, until, send_by, parcel }) => {
--- a/src/net/streamers/link.rs
+++ b/src/net/streamers/link.rs
@@ -65,11 +65,11 @@
     pub fn hear(&mut self, shared: &mut Shared, message: FromStreamer) {
         let streamer = self.streamer;
         let input = match message {
-            FromStreamer::Stands(session, description) => {
+            FromStreamer::Established(session, description) => {
                 let number = self.answered(session);
                 Input::Stands { streamer, session, number, description }
             }
-            FromStreamer::TurnedAway(session, outcome, report) => {
+            FromStreamer::Rejected(session, outcome, report) => {
                 let number = self.answered(session);
                 Input::TurnedAway { streamer, session, number, outcome, report }
             }
@@ -82,19 +82,19 @@
                 let number = self.open.remove(&session).map(|o| o.0);
                 Input::Released { streamer, session, number, why, description, report }
             }
-            FromStreamer::Tested(id, passed, report) => {
+            FromStreamer::ProbeAnswered(id, passed, report) => {
                 if !self.tests.remove(&id) {
                     return;
                 }
                 let outcome = if passed { Outcome::Ok } else { Outcome::Failed };
                 Input::Probed { streamer, outcome, report }
             }
-            FromStreamer::Noted(session, Some(kind), value) => {
-                Input::Noted { streamer, session, kind, value }
-            }
+            FromStreamer::Note(session, Some(kind), value) => Input::Noted { streamer, session, kind, value },
             // Asked for only where sessions outlive their director.
-            FromStreamer::Over(session) if shared.leave.is_some() => Input::DropHeard(session),
-            FromStreamer::Noted(_, None, _) | FromStreamer::Over(_) | FromStreamer::Idle => return,
+            FromStreamer::ReleaseAcknowledged(session) if shared.leave.is_some() => Input::DropHeard(session),
+            FromStreamer::Note(_, None, _)
+            | FromStreamer::ReleaseAcknowledged(_)
+            | FromStreamer::Irrelevant => return,
         };
         shared.inputs.push(input);
     }
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -74,12 +74,12 @@
     }
 
     /// Begins to look after the connections.
-    pub fn begin(&self, shared: &mut Shared) {
+    pub fn start(&self, shared: &mut Shared) {
         shared.wake(WATCH_US, Due::Watch);
     }
 
     /// Takes the list's news.
-    pub fn list(&mut self, shared: &mut Shared, scope: ListScope, entries: &[(Entry, SocketAddr)]) {
+    pub fn apply_list(&mut self, shared: &mut Shared, scope: ListScope, entries: &[(Entry, SocketAddr)]) {
         if scope != ListScope::Delta {
             let named: BTreeSet<_> = entries.iter().map(|e| e.0.streamer).collect();
             let absent = self.pools.keys().filter(|s| !named.contains(s));
@@ -146,7 +146,7 @@
     }
 
     /// Passes a set-up on.
-    pub fn set_up(&mut self, shared: &mut Shared, set_up: SetUp) {
+    pub fn send_set_up(&mut self, shared: &mut Shared, set_up: SetUp) {
         let SetUp { streamer, attempt, rung, until, send_by, parcel } = set_up;
         let session = attempt.session;
         let token = match self.link_for(shared, streamer, Some(session)) {
@@ -162,7 +162,7 @@
     }
 
     /// Gives an attempt up; an input tells when that is done, and whether it had ever left.
-    pub fn give_up(&mut self, shared: &mut Shared, streamer: StreamerId, attempt: Attempt) {
+    pub fn cancel_attempt(&mut self, shared: &mut Shared, streamer: StreamerId, attempt: Attempt) {
         let session = attempt.session;
         let links = self.pools.get(&streamer).map(|p| p.links.clone()).unwrap_or_default();
         let has = |t: &Token| {
@@ -199,7 +199,7 @@
 
     /// Releases a session that stands, or sets its rung. `acts`: the session, where this director does so by
     /// its own will.
-    pub fn word(
+    pub fn send_control(
         &mut self,
         shared: &mut Shared,
         streamer: StreamerId,
@@ -216,7 +216,7 @@
                 if let Some(pool) = self.pools.get_mut(&streamer).filter(|p| p.unsaid.len() < QUEUE_MOST) {
                     pool.unsaid.push_back((shared.now, bytes, acts));
                 }
-                self.attend(shared, streamer);
+                self.ensure_connected(shared, streamer);
             }
         }
     }
@@ -237,7 +237,7 @@
         if let Some(link) = self.links.get_mut(&token) {
             link.used_at = shared.now;
             link.tests.insert(id);
-            link.queue.push_back(Saying::Word(rtsp::load_test(id), None));
+            link.queue.push_back(Saying::Word(rtsp::load_probe(id), None));
             let dialing = if link.up { 0 } else { self.transport.dial_timeout_us };
             shared.wake(self.transport.dial_timeout_us + dialing, Due::Probe(token, id));
         }
@@ -254,7 +254,7 @@
     }
 
     /// Sees to it that what concerns the sessions at a streamer can come in.
-    pub fn attend(&mut self, shared: &mut Shared, streamer: StreamerId) {
+    pub fn ensure_connected(&mut self, shared: &mut Shared, streamer: StreamerId) {
         let Some(pool) = self.pools.get(&streamer) else { return };
         if pool.links.is_empty() && pool.dial_at <= shared.now {
             let _ = self.dial(shared, streamer); // the watch tries again
--- a/src/platform/rtsp.rs
+++ b/src/platform/rtsp.rs
@@ -9,12 +9,12 @@
 
 const CSEQ_SET_UP: u32 = 1;
 const CSEQ_RELEASE: u32 = 2;
-const CSEQ_TEST: u32 = 3;
-const CSEQ_OTHER: u32 = 4;
-const HEADERS_MAX: usize = 32;
+const CSEQ_PROBE: u32 = 3;
+const CSEQ_SET_RUNG: u32 = 4;
+const MAX_HEADERS: usize = 32;
 
 /// Cause with which the director ends a session at a streamer.
-const CAUSE_DROPPED: u8 = 31;
+const CAUSE_RELEASED: u8 = 31;
 
 /// What a streamer can get wrong so that its connection can't go on.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -37,20 +37,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromStreamer {
     /// The session stands.
-    Stands(RequestId, Vec<u8>),
+    Established(RequestId, Vec<u8>),
     /// The set-up was turned away.
-    TurnedAway(RequestId, Outcome, LoadReport),
+    Rejected(RequestId, Outcome, LoadReport),
     /// A session is released, with a cause; without one where none was given. One that ended as it began
     /// brings its description along.
     Released(RequestId, Option<u8>, Vec<u8>, LoadReport),
     /// A test's result.
-    Tested(RequestId, bool, LoadReport),
+    ProbeAnswered(RequestId, bool, LoadReport),
     /// A note on a session; `None` for one of a kind that is not known.
-    Noted(RequestId, Option<NoteKind>, f64),
+    Note(RequestId, Option<NoteKind>, f64),
     /// A release was heard: the session is over there, if it ever was.
-    Over(RequestId),
+    ReleaseAcknowledged(RequestId),
     /// Means nothing to a director.
-    Idle,
+    Irrelevant,
 }
 
 enum First<'a> {
@@ -67,7 +67,7 @@
     let unfinished = if bytes.len() >= MESSAGE_MAX { Err(RtspError::TooLong) } else { Ok(None) };
     let Some(line_end) = seen.iter().position(|b| *b == b'\n') else { return unfinished };
     let first = first_line(&seen[..line_end])?;
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let (headers_len, headers) = match httparse::parse_headers(&seen[line_end + 1..], &mut slots)? {
         httparse::Status::Complete(done) => done,
         httparse::Status::Partial => return unfinished,
@@ -112,8 +112,8 @@
         First::Answer(code) => {
             let cseq: u32 = field("CSeq").and_then(|c| c.parse().ok()).ok_or(RtspError::Field("CSeq"))?;
             match (cseq, code) {
-                (CSEQ_SET_UP, 100..=199) => Ok(FromStreamer::Idle),
-                (CSEQ_SET_UP, 200..=299) => Ok(FromStreamer::Stands(session()?, body.to_vec())),
+                (CSEQ_SET_UP, 100..=199) => Ok(FromStreamer::Irrelevant),
+                (CSEQ_SET_UP, 200..=299) => Ok(FromStreamer::Established(session()?, body.to_vec())),
                 (CSEQ_SET_UP, _) => {
                     let outcome = match code {
                         453 => Outcome::QueueFull,
@@ -121,14 +121,16 @@
                         504 => Outcome::Reset,
                         _ => Outcome::Failed,
                     };
-                    Ok(FromStreamer::TurnedAway(session()?, outcome, report()))
+                    Ok(FromStreamer::Rejected(session()?, outcome, report()))
                 }
-                (CSEQ_TEST, 200..=599) => {
-                    Ok(FromStreamer::Tested(session()?, (200..300).contains(code), report()))
+                (CSEQ_PROBE, 200..=599) => {
+                    Ok(FromStreamer::ProbeAnswered(session()?, (200..300).contains(code), report()))
                 }
                 // Free in form: one without a session says nothing.
-                (CSEQ_RELEASE, 200..=299) => Ok(session().map_or(FromStreamer::Idle, FromStreamer::Over)),
-                _ => Ok(FromStreamer::Idle),
+                (CSEQ_RELEASE, 200..=299) => {
+                    Ok(session().map_or(FromStreamer::Irrelevant, FromStreamer::ReleaseAcknowledged))
+                }
+                _ => Ok(FromStreamer::Irrelevant),
             }
         }
         First::Request("TEARDOWN") => {
@@ -146,9 +148,9 @@
                 _ => None,
             };
             let value = field("X-Reading").and_then(|v| v.parse().ok()).filter(|v: &f64| v.is_finite());
-            Ok(FromStreamer::Noted(session()?, kind, value.ok_or(RtspError::Field("X-Reading"))?))
+            Ok(FromStreamer::Note(session()?, kind, value.ok_or(RtspError::Field("X-Reading"))?))
         }
-        First::Request(_) => Ok(FromStreamer::Idle),
+        First::Request(_) => Ok(FromStreamer::Irrelevant),
     }
 }
 
@@ -192,22 +194,22 @@
 }
 
 /// The set-up is given up.
-pub fn give_up(session: RequestId) -> Vec<u8> {
+pub fn cancel(session: RequestId) -> Vec<u8> {
     request("TEARDOWN", "session", CSEQ_RELEASE, session, "", b"")
 }
 
 /// A session that stands is released by the director.
 pub fn release(session: RequestId) -> Vec<u8> {
-    let fields = format!("Reason: cause={CAUSE_DROPPED}\r\n");
+    let fields = format!("Reason: cause={CAUSE_RELEASED}\r\n");
     request("TEARDOWN", "session", CSEQ_RELEASE, session, &fields, b"")
 }
 
 /// A new rung for a session that plays.
-pub fn rung(session: RequestId, rung: usize) -> Vec<u8> {
-    request("SET_PARAMETER", "session", CSEQ_OTHER, session, &format!("X-Quality: {rung}\r\n"), b"")
+pub fn set_rung(session: RequestId, rung: usize) -> Vec<u8> {
+    request("SET_PARAMETER", "session", CSEQ_SET_RUNG, session, &format!("X-Quality: {rung}\r\n"), b"")
 }
 
 /// A test that asks for the streamer's load.
-pub fn load_test(id: RequestId) -> Vec<u8> {
-    request("OPTIONS", "load", CSEQ_TEST, id, "", b"")
+pub fn load_probe(id: RequestId) -> Vec<u8> {
+    request("OPTIONS", "load", CSEQ_PROBE, id, "", b"")
 }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -111,20 +111,23 @@
     let none = LoadReport::default();
     let load = LoadReport { link_capped: Some(0.9), uplink: Some(1.1), ..none };
     let cases = [
-        (answer("RTSP/1.0 200 OK", 1, "", "sdp"), Stands(ID, b"sdp".to_vec())),
-        (answer("RTSP/1.0 100 Trying", 1, "", ""), Idle),
+        (answer("RTSP/1.0 200 OK", 1, "", "sdp"), Established(ID, b"sdp".to_vec())),
+        (answer("RTSP/1.0 100 Trying", 1, "", ""), Irrelevant),
         (
             answer("RTSP/1.0 453 Full", 1, "P-Load: util:0.9;x1:1.1\r\n", ""),
-            TurnedAway(ID, Outcome::QueueFull, load),
+            Rejected(ID, Outcome::QueueFull, load),
         ),
-        (answer("RTSP/1.0 454 Moot", 1, "", ""), TurnedAway(ID, Outcome::Ignored, none)),
-        (answer("RTSP/1.0 500 Error", 1, "", ""), TurnedAway(ID, Outcome::Failed, none)),
-        (answer("RTSP/1.0 504 Reset", 1, "", ""), TurnedAway(ID, Outcome::Reset, none)),
-        (answer("RTSP/1.0 200 OK", 2, "", ""), Over(ID)),
+        (answer("RTSP/1.0 454 Moot", 1, "", ""), Rejected(ID, Outcome::Ignored, none)),
+        (answer("RTSP/1.0 500 Error", 1, "", ""), Rejected(ID, Outcome::Failed, none)),
+        (answer("RTSP/1.0 504 Reset", 1, "", ""), Rejected(ID, Outcome::Reset, none)),
+        (answer("RTSP/1.0 200 OK", 2, "", ""), ReleaseAcknowledged(ID)),
         // A release that was heard is free in form, and says nothing without its session.
-        (b"RTSP/1.0 200 OK\r\nCSeq: 2\r\nContent-Length: 0\r\n\r\n".to_vec(), Idle),
-        (answer("RTSP/1.0 200 OK", 3, "P-Load: load_share:0.9;x1:1.1\r\n", ""), Tested(ID, true, load)),
-        (answer("RTSP/1.0 503 No", 3, "", ""), Tested(ID, false, none)),
+        (b"RTSP/1.0 200 OK\r\nCSeq: 2\r\nContent-Length: 0\r\n\r\n".to_vec(), Irrelevant),
+        (
+            answer("RTSP/1.0 200 OK", 3, "P-Load: load_share:0.9;x1:1.1\r\n", ""),
+            ProbeAnswered(ID, true, load),
+        ),
+        (answer("RTSP/1.0 503 No", 3, "", ""), ProbeAnswered(ID, false, none)),
         (
             answer("TEARDOWN rtsp://media/x RTSP/1.0", 2, "Reason: cause=41\r\n", ""),
             Released(ID, Some(41), vec![], none),
@@ -132,7 +135,7 @@
         (answer("TEARDOWN rtsp://media/x RTSP/1.0", 2, "", ""), Released(ID, None, vec![], none)),
         (
             answer("ANNOUNCE rtsp://media/x RTSP/1.0", 4, "Warning-Word: served\r\nX-Reading: 0.75\r\n", ""),
-            Noted(ID, Some(NoteKind::Delivered), 0.75),
+            Note(ID, Some(NoteKind::Delivered), 0.75),
         ),
     ];
     for (bytes, expected) in cases {
