--- a/src/net/streamers/exchange.rs
+++ b/src/net/streamers/exchange.rs
@@ -3,8 +3,8 @@
 use super::super::part::Ready;
 use super::super::poll::Token;
 use super::super::shared::Shared;
-use super::link::{Saying, Writing};
-use super::{QUEUE_MOST, Streamers};
+use super::link::{MessageInProgress, QueuedMessage};
+use super::{MAX_QUEUED_MESSAGES, Streamers};
 use crate::director::{Attempt, Input, UnsentReason};
 use crate::interface::{LoadReport, Outcome, Standing};
 use crate::platform::rtsp;
@@ -13,23 +13,24 @@
 
 impl Streamers {
     /// Reads and writes a connection that is ready.
-    pub(super) fn exchange(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        if !link.up {
+    pub(super) fn handle_ready(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if !connection.connected {
             if !writable {
                 return;
             }
-            if let Err(why) = link.line.outcome() {
-                return self.never_up(shared, token, &why);
+            if let Err(why) = connection.socket.outcome() {
+                return self.connect_failed(shared, token, &why);
             }
-            link.up = true;
-            let streamer = link.streamer;
-            link.heard_at = shared.now;
+            connection.connected = true;
+            let streamer = connection.streamer;
+            connection.last_received_at = shared.now;
             shared.inputs.push(Input::Contact { streamer, up: true });
             if let Some(pool) = self.pools.get_mut(&streamer) {
-                (pool.heard_at, pool.failing_since) = (shared.now, None);
-                let words = pool.unsaid.drain(..).map(|kept| Saying::Word(kept.1, kept.2));
-                words.for_each(|word| link.queue.push_back(word));
+                (pool.last_received_at, pool.failing_since) = (shared.now, None);
+                let control_messages =
+                    pool.unsent_control.drain(..).map(|kept| QueuedMessage::Control(kept.1, kept.2));
+                control_messages.for_each(|message| connection.queue.push_back(message));
             }
         }
         if writable {
@@ -45,98 +46,101 @@
     /// its streamer has come meanwhile.
     pub fn flush(&mut self, shared: &mut Shared) {
         for token in std::mem::take(&mut self.writable) {
-            self.pump(shared, token);
+            self.write_queue(shared, token);
         }
     }
 
     /// Whether something is still to be written on a connection that is up.
     pub fn has_unwritten(&self) -> bool {
-        self.links.values().any(|l| l.up && (l.line.unwritten() > 0 || !l.queue.is_empty()))
+        self.connections.values().any(|c| c.connected && (c.socket.unwritten() > 0 || !c.queue.is_empty()))
     }
 
     /// A connection that can't be written to any more. What came on it before is still heard: an answer may
     /// be among it.
-    fn broke(&mut self, shared: &mut Shared, token: Token, why: &io::Error) {
-        let streamer = self.links.get(&token).map(|l| l.streamer.0);
+    fn write_failed(&mut self, shared: &mut Shared, token: Token, why: &io::Error) {
+        let streamer = self.connections.get(&token).map(|c| c.streamer.0);
         debug!(shared.log, "connection broke: {why}"; "streamer" => streamer);
         self.read(shared, token);
-        self.links.get_mut(&token).into_iter().for_each(|link| link.cut = true);
-        self.down(shared, token);
+        self.connections
+            .get_mut(&token)
+            .into_iter()
+            .for_each(|connection| connection.input_may_be_lost = true);
+        self.close(shared, token);
     }
 
     pub(super) fn read(&mut self, shared: &mut Shared, token: Token) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        let got = link.line.read();
-        let (messages, bad) = link.line.take(rtsp::read);
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let read_result = connection.socket.read();
+        let (messages, parse_error) = connection.socket.take(rtsp::read);
         if !messages.is_empty() {
-            link.heard_at = shared.now;
-            if let Some(pool) = self.pools.get_mut(&link.streamer) {
-                (pool.heard_at, pool.failing_since) = (shared.now, None);
+            connection.last_received_at = shared.now;
+            if let Some(pool) = self.pools.get_mut(&connection.streamer) {
+                (pool.last_received_at, pool.failing_since) = (shared.now, None);
             }
         }
-        messages.into_iter().for_each(|message| link.hear(shared, message));
-        if let Some(why) = bad {
+        messages.into_iter().for_each(|message| connection.handle_message(shared, message));
+        if let Some(why) = parse_error {
             shared.counters.malformed += 1;
-            let streamer = link.streamer.0;
+            let streamer = connection.streamer.0;
             warn!(shared.log, "malformed message, connection closed: {why}"; "streamer" => streamer);
-            (link.spoilt, link.cut) = (true, true);
-            return self.down(shared, token);
+            (connection.input_unparseable, connection.input_may_be_lost) = (true, true);
+            return self.close(shared, token);
         }
-        match got {
+        match read_result {
             Ok(Got::Bytes) => {}
-            Ok(Got::End) => self.down(shared, token),
+            Ok(Got::End) => self.close(shared, token),
             Err(why) => {
-                debug!(shared.log, "connection broke: {why}"; "streamer" => link.streamer.0);
-                link.cut = true;
-                self.down(shared, token);
+                debug!(shared.log, "connection broke: {why}"; "streamer" => connection.streamer.0);
+                connection.input_may_be_lost = true;
+                self.close(shared, token);
             }
         }
     }
 
     /// Writes what waits on a connection, message by message.
-    pub(super) fn pump(&mut self, shared: &mut Shared, token: Token) {
-        let Some(link) = self.links.get_mut(&token).filter(|l| l.up) else { return };
-        let up = self.pools.get(&link.streamer).is_some_and(|p| p.standing == Standing::Up);
+    pub(super) fn write_queue(&mut self, shared: &mut Shared, token: Token) {
+        let Some(connection) = self.connections.get_mut(&token).filter(|c| c.connected) else { return };
+        let streamer_up = self.pools.get(&connection.streamer).is_some_and(|p| p.standing == Standing::Up);
         loop {
-            match link.line.write() {
+            match connection.socket.write() {
                 Ok(true) => {}
                 Ok(false) => return,
-                Err(why) => return self.broke(shared, token, &why),
+                Err(why) => return self.write_failed(shared, token, &why),
             }
-            match link.writing.take() {
-                Some(Writing::GiveUp(attempt)) => shared.inputs.push(Input::GaveUp(attempt)),
-                Some(Writing::SetUp(_)) => shared.counters.relayed += 1,
-                Some(Writing::Word(..)) | None => {}
+            match connection.writing.take() {
+                Some(MessageInProgress::Cancel(attempt)) => shared.inputs.push(Input::GaveUp(attempt)),
+                Some(MessageInProgress::SetUp(_)) => shared.counters.relayed += 1,
+                Some(MessageInProgress::Control(..)) | None => {}
             }
-            match link.queue.pop_front() {
+            match connection.queue.pop_front() {
                 None => return,
                 // By a leave that ran out meanwhile nothing goes out.
-                Some(Saying::Word(_, Some(session))) if !shared.may_act(session) => {}
-                Some(Saying::Word(bytes, acts)) => {
-                    link.line.put(&bytes);
-                    link.writing = Some(Writing::Word(bytes, acts));
+                Some(QueuedMessage::Control(_, Some(session))) if !shared.may_act(session) => {}
+                Some(QueuedMessage::Control(bytes, acting_on)) => {
+                    connection.socket.put(&bytes);
+                    connection.writing = Some(MessageInProgress::Control(bytes, acting_on));
                 }
                 // What is another's is not ended from here.
-                Some(Saying::GiveUp(attempt)) if !shared.may_act(attempt.session) => {
+                Some(QueuedMessage::Cancel(attempt)) if !shared.may_act(attempt.session) => {
                     shared.inputs.push(Input::GaveUp(attempt));
                 }
-                Some(Saying::GiveUp(attempt)) => {
-                    link.line.put(&rtsp::cancel(attempt.session));
-                    link.writing = Some(Writing::GiveUp(attempt));
+                Some(QueuedMessage::Cancel(attempt)) => {
+                    connection.socket.put(&rtsp::cancel(attempt.session));
+                    connection.writing = Some(MessageInProgress::Cancel(attempt));
                 }
-                Some(Saying::SetUp { attempt, rung, until, send_by, parcel }) => {
+                Some(QueuedMessage::SetUp { attempt, rung, until, send_by, parcel }) => {
                     let wait_ms = until.saturating_sub(shared.now) / 1000;
                     let bytes = rtsp::set_up(attempt.session, &parcel, rung, wait_ms);
                     // All of this is looked at as the bytes go out: the set-up may have waited.
                     let in_time = wait_ms > 0 && shared.now < send_by;
-                    match bytes.filter(|_| up && in_time && shared.may_act(attempt.session)) {
+                    match bytes.filter(|_| streamer_up && in_time && shared.may_act(attempt.session)) {
                         Some(bytes) => {
-                            link.line.put(&bytes);
-                            link.writing = Some(Writing::SetUp(attempt));
-                            link.open.insert(attempt.session, (attempt.number, true));
+                            connection.socket.put(&bytes);
+                            connection.writing = Some(MessageInProgress::SetUp(attempt));
+                            connection.open_attempts.insert(attempt.session, (attempt.number, true));
                         }
                         None => {
-                            link.open.remove(&attempt.session);
+                            connection.open_attempts.remove(&attempt.session);
                             shared.inputs.push(Input::Unsent(attempt, UnsentReason::Withdrawn));
                         }
                     }
@@ -146,39 +150,41 @@
     }
 
     /// Ends a connection: what was out on it is over, each in the way that can be proved.
-    pub(super) fn down(&mut self, shared: &mut Shared, token: Token) {
-        let Some(link) = self.links.remove(&token) else { return };
-        let streamer = link.streamer;
-        for (session, (number, left)) in &link.open {
+    pub(super) fn close(&mut self, shared: &mut Shared, token: Token) {
+        let Some(connection) = self.connections.remove(&token) else { return };
+        let streamer = connection.streamer;
+        for (session, (number, started)) in &connection.open_attempts {
             let attempt = Attempt { session: *session, number: *number };
             let unsent = Input::Unsent(attempt, UnsentReason::NoConnection);
-            shared.inputs.push(match *left {
-                true if link.spoilt => Input::Spoilt(attempt),
+            shared.inputs.push(match *started {
+                true if connection.input_unparseable => Input::Spoilt(attempt),
                 true => Input::Broken(attempt),
                 false => unsent,
             });
         }
-        let outcome = if link.up { Outcome::Reset } else { Outcome::ConnectError };
-        for _ in &link.tests {
+        let outcome = if connection.connected { Outcome::Reset } else { Outcome::ConnectError };
+        for _ in &connection.probes {
             shared.inputs.push(Input::Probed { streamer, outcome, report: LoadReport::default() });
         }
-        if let Some(Writing::GiveUp(attempt)) = link.writing {
+        if let Some(MessageInProgress::Cancel(attempt)) = connection.writing {
             shared.inputs.push(Input::GaveUp(attempt));
         }
         let Some(pool) = self.pools.get_mut(&streamer) else { return };
-        pool.links.remove(&token);
-        pool.cut |= link.cut;
+        pool.connections.remove(&token);
+        pool.input_may_be_lost |= connection.input_may_be_lost;
         // One that was cut in the middle was not understood; a whole one said again does no harm.
-        if let Some(Writing::Word(bytes, acts)) = link.writing {
-            pool.unsaid.push_back((shared.now, bytes, acts));
+        if let Some(MessageInProgress::Control(bytes, acting_on)) = connection.writing {
+            pool.unsent_control.push_back((shared.now, bytes, acting_on));
         }
-        for saying in link.queue {
-            match saying {
-                Saying::GiveUp(attempt) => shared.inputs.push(Input::GaveUp(attempt)),
-                Saying::Word(bytes, acts) if pool.unsaid.len() < QUEUE_MOST => {
-                    pool.unsaid.push_back((shared.now, bytes, acts));
+        for message in connection.queue {
+            match message {
+                QueuedMessage::Cancel(attempt) => shared.inputs.push(Input::GaveUp(attempt)),
+                QueuedMessage::Control(bytes, acting_on)
+                    if pool.unsent_control.len() < MAX_QUEUED_MESSAGES =>
+                {
+                    pool.unsent_control.push_back((shared.now, bytes, acting_on));
                 }
-                Saying::Word(..) | Saying::SetUp { .. } => {}
+                QueuedMessage::Control(..) | QueuedMessage::SetUp { .. } => {}
             }
         }
     }
--- a/src/net/streamers/link.rs
+++ b/src/net/streamers/link.rs
@@ -4,11 +4,11 @@
 use super::super::shared::Shared;
 use crate::director::{Attempt, Input, Parcel, SessionEnd};
 use crate::interface::{Micros, Outcome, RequestId, StreamerId};
-use crate::platform::rtsp::FromStreamer;
+use crate::platform::rtsp::{self, FromStreamer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-pub enum Saying {
+pub enum QueuedMessage {
     SetUp {
         attempt: Attempt,
         rung: usize,
@@ -17,76 +17,76 @@
         send_by: Micros,
         parcel: Rc<Parcel>,
     },
-    GiveUp(Attempt),
+    Cancel(Attempt),
     /// A word; with a session, one that this director says by its own will.
-    Word(Vec<u8>, Option<RequestId>),
+    Control(Vec<u8>, Option<RequestId>),
 }
 
 #[derive(Clone, PartialEq, Eq)]
-pub enum Writing {
+pub enum MessageInProgress {
     SetUp(Attempt),
-    GiveUp(Attempt),
-    Word(Vec<u8>, Option<RequestId>),
+    Cancel(Attempt),
+    Control(Vec<u8>, Option<RequestId>),
 }
 
 /// One connection to a streamer.
-pub struct Link {
+pub struct StreamerConnection {
     pub streamer: StreamerId,
-    pub line: Line,
-    pub up: bool,
-    pub queue: VecDeque<Saying>,
+    pub socket: Line,
+    pub connected: bool,
+    pub queue: VecDeque<QueuedMessage>,
     /// What is being written, where that matters.
-    pub writing: Option<Writing>,
+    pub writing: Option<MessageInProgress>,
     /// Open set-ups: number of the attempt, and whether a byte of it has left.
-    pub open: BTreeMap<RequestId, (u32, bool)>,
-    pub given_up: BTreeSet<RequestId>,
-    pub tests: BTreeSet<RequestId>,
+    pub open_attempts: BTreeMap<RequestId, (u32, bool)>,
+    pub cancelled: BTreeSet<RequestId>,
+    pub probes: BTreeSet<RequestId>,
     /// It has carried a set-up.
-    pub carried: bool,
-    pub used_at: Micros,
-    pub heard_at: Micros,
+    pub carried_set_up: bool,
+    pub last_used_at: Micros,
+    pub last_received_at: Micros,
     /// Something came on it that can't be read.
-    pub spoilt: bool,
+    pub input_unparseable: bool,
     /// It ended with what its streamer wrote last perhaps unread: by a reset, or behind what can't be read.
-    pub cut: bool,
+    pub input_may_be_lost: bool,
 }
 
-impl Link {
+impl StreamerConnection {
     /// Takes a set-up back that is being written, if not a byte of it has left.
-    pub fn take_back(&mut self, attempt: Attempt) -> bool {
-        let back = self.writing == Some(Writing::SetUp(attempt)) && self.line.take_back();
-        if back {
+    pub fn withdraw_unwritten(&mut self, attempt: Attempt) -> bool {
+        let withdrawn = self.writing == Some(MessageInProgress::SetUp(attempt)) && self.socket.take_back();
+        if withdrawn {
             self.writing = None;
         }
-        back
+        withdrawn
     }
 
     /// Turns a streamer's message into what the core hears.
-    pub fn hear(&mut self, shared: &mut Shared, message: FromStreamer) {
+    pub fn handle_message(&mut self, shared: &mut Shared, message: FromStreamer) {
         let streamer = self.streamer;
         let input = match message {
             FromStreamer::Established(session, description) => {
-                let number = self.answered(session);
+                let number = self.take_open_attempt(session);
                 Input::Stands { streamer, session, number, description }
             }
             FromStreamer::Rejected(session, outcome, report) => {
-                let number = self.answered(session);
+                let number = self.take_open_attempt(session);
                 Input::TurnedAway { streamer, session, number, outcome, report }
             }
             FromStreamer::Released(session, cause, description, report) => {
                 let why = match cause {
-                    Some(16) => SessionEnd::Ended,
-                    Some(31) => SessionEnd::Left,
+                    Some(rtsp::CAUSE_COMPLETED) => SessionEnd::Ended,
+                    Some(rtsp::CAUSE_RELEASED) => SessionEnd::Left,
                     _ => SessionEnd::Cut,
                 };
-                let number = self.open.remove(&session).map(|o| o.0);
+                let number = self.open_attempts.remove(&session).map(|(number, _)| number);
                 Input::Released { streamer, session, number, why, description, report }
             }
-            FromStreamer::ProbeAnswered(id, passed, report) => {
-                if !self.tests.remove(&id) {
+            FromStreamer::ProbeAnswered(id, succeeded, report) => {
+                if !self.probes.remove(&id) {
                     return;
                 }
-                let outcome = if passed { Outcome::Ok } else { Outcome::Failed };
+                let outcome = if succeeded { Outcome::Ok } else { Outcome::Failed };
                 Input::Probed { streamer, outcome, report }
             }
             FromStreamer::Note(session, Some(kind), value) => Input::Noted { streamer, session, kind, value },
@@ -100,8 +100,8 @@
     }
 
     /// The open attempt that an answer on this connection is for; none where that was given up.
-    pub fn answered(&mut self, session: RequestId) -> Option<u32> {
-        self.given_up.remove(&session);
-        self.open.remove(&session).map(|o| o.0)
+    pub fn take_open_attempt(&mut self, session: RequestId) -> Option<u32> {
+        self.cancelled.remove(&session);
+        self.open_attempts.remove(&session).map(|(number, _)| number)
     }
 }
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -11,210 +11,217 @@
 use crate::interface::{Entry, ListScope, LoadReport, Micros, Outcome, RequestId, Standing, StreamerId};
 use crate::platform::rtsp;
 use crate::settings::TransportSettings;
-use link::{Link, Saying, Writing};
+use link::{MessageInProgress, QueuedMessage, StreamerConnection};
 use slog::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
 /// Between looks at the connections.
-const WATCH_US: Micros = 250_000;
+const CHECK_INTERVAL_US: Micros = 250_000;
 /// A give-up that is not written after this is carried out by closing its connection.
-const GIVE_UP_US: Micros = 100_000;
+const CANCEL_WRITE_TIMEOUT_US: Micros = 100_000;
 /// A set-up goes on a connection whose streamer was heard of so lately, else on a new one: a streamer that
 /// can't be reached then proves it.
-const HEARD_US: Micros = 1_000_000;
+const RECENT_INPUT_US: Micros = 1_000_000;
 /// A streamer with sessions that has been silent for so long is checked by a new connection.
-const SILENT_US: Micros = 2_000_000;
+const SILENCE_CHECK_US: Micros = 2_000_000;
 /// Its sessions are lost when no connection has come up for so long.
-const LOST_US: Micros = 1_500_000;
+const UNREACHABLE_LOST_US: Micros = 1_500_000;
 /// The same where connections are refused: its process does not run.
-const REFUSED_US: Micros = 500_000;
+const REFUSED_LOST_US: Micros = 500_000;
 /// Between attempts to connect to a streamer on behalf of its sessions.
-const REDIAL_US: Micros = 250_000;
+const REDIAL_INTERVAL_US: Micros = 250_000;
 /// The same on behalf of releases alone, and how long those are kept.
-const REDIAL_WORDS_US: Micros = 2_000_000;
-const WORDS_KEPT_US: Micros = 60_000_000;
+const CONTROL_REDIAL_DELAY_US: Micros = 2_000_000;
+const CONTROL_RETENTION_US: Micros = 60_000_000;
 /// Messages that wait on one connection, and words kept for a streamer without one, at most.
-const QUEUE_MOST: usize = 4096;
+const MAX_QUEUED_MESSAGES: usize = 4096;
 /// Given-up set-ups after which a connection takes no new ones.
-const GIVEN_UP_MOST: usize = 256;
+const MAX_CANCELLED_SET_UPS: usize = 256;
 
 /// What is known of a streamer's address and of the way to it.
 #[derive(Default)]
 struct Pool {
     address: Option<SocketAddr>,
     standing: Standing,
-    links: BTreeSet<Token>,
+    connections: BTreeSet<Token>,
     /// Releases and rungs that wait for a connection.
-    unsaid: VecDeque<(Micros, Vec<u8>, Option<RequestId>)>,
-    heard_at: Micros,
+    unsent_control: VecDeque<(Micros, Vec<u8>, Option<RequestId>)>,
+    last_received_at: Micros,
     failing_since: Option<Micros>,
-    refused: bool,
+    dial_refused: bool,
     /// A connection was cut since the last one was begun: a release may have been lost with it.
-    cut: bool,
-    dial_at: Micros,
+    input_may_be_lost: bool,
+    next_dial_at: Micros,
 }
 
 /// All connections to streamers.
 pub struct Streamers {
     pools: BTreeMap<StreamerId, Pool>,
-    links: BTreeMap<Token, Link>,
+    connections: BTreeMap<Token, StreamerConnection>,
     /// Connections that became ready to be written to in this turn.
     writable: BTreeSet<Token>,
     transport: TransportSettings,
-    most: usize,
-    last_test: u64,
+    max_connections: usize,
+    last_probe_id: u64,
 }
 
 impl Streamers {
     /// None yet; so many connections at most.
-    pub fn new(transport: TransportSettings, most: usize) -> Self {
-        let (pools, links, writable) = Default::default();
-        Streamers { pools, links, writable, transport, most, last_test: 0 }
+    pub fn new(transport: TransportSettings, max_connections: usize) -> Self {
+        let (pools, connections, writable) = Default::default();
+        Streamers { pools, connections, writable, transport, max_connections, last_probe_id: 0 }
     }
 
     /// Begins to look after the connections.
     pub fn start(&self, shared: &mut Shared) {
-        shared.wake(WATCH_US, Due::Watch);
+        shared.wake(CHECK_INTERVAL_US, Due::Watch);
     }
 
     /// Takes the list's news.
     pub fn apply_list(&mut self, shared: &mut Shared, scope: ListScope, entries: &[(Entry, SocketAddr)]) {
         if scope != ListScope::Delta {
-            let named: BTreeSet<_> = entries.iter().map(|e| e.0.streamer).collect();
-            let absent = self.pools.keys().filter(|s| !named.contains(s));
+            let listed: BTreeSet<_> = entries.iter().map(|e| e.0.streamer).collect();
+            let absent = self.pools.keys().filter(|s| !listed.contains(s));
             let absent: Vec<_> = absent.copied().collect();
-            absent.into_iter().for_each(|streamer| self.forget(shared, streamer));
+            absent.into_iter().for_each(|streamer| self.remove_streamer(shared, streamer));
         }
         for (entry, address) in entries {
             if entry.standing == Standing::Gone {
-                self.forget(shared, entry.streamer);
+                self.remove_streamer(shared, entry.streamer);
                 continue;
             }
             // An address that a new streamer has is no longer another's.
-            let before = |(s, p): (&StreamerId, &Pool)| {
+            let has_same_address = |(s, p): (&StreamerId, &Pool)| {
                 (p.address == Some(*address) && *s != entry.streamer).then_some(*s)
             };
-            let before: Vec<_> = self.pools.iter().filter_map(before).collect();
-            before.into_iter().for_each(|streamer| self.forget(shared, streamer));
+            let previous: Vec<_> = self.pools.iter().filter_map(has_same_address).collect();
+            previous.into_iter().for_each(|streamer| self.remove_streamer(shared, streamer));
             let pool = self.pools.entry(entry.streamer).or_default();
             pool.standing = entry.standing;
-            if pool.address.replace(*address).is_some_and(|was| was != *address) {
-                self.close_links(shared, entry.streamer);
+            if pool.address.replace(*address).is_some_and(|previous| previous != *address) {
+                self.close_connections(shared, entry.streamer);
             } else if entry.standing != Standing::Up {
-                self.withdraw(shared, entry.streamer);
+                self.withdraw_set_ups(shared, entry.streamer);
             }
         }
     }
 
     /// A streamer that is gone: its connections and its sessions are, too.
-    fn forget(&mut self, shared: &mut Shared, streamer: StreamerId) {
-        self.close_links(shared, streamer);
+    fn remove_streamer(&mut self, shared: &mut Shared, streamer: StreamerId) {
+        self.close_connections(shared, streamer);
         if self.pools.remove(&streamer).is_some() {
             shared.inputs.push(Input::Lost(streamer));
         }
     }
 
     /// Takes back what waits to be set up at a streamer that drains.
-    fn withdraw(&mut self, shared: &mut Shared, streamer: StreamerId) {
-        let links = self.pools.get(&streamer).map(|p| p.links.clone()).unwrap_or_default();
-        for token in links {
-            let Some(link) = self.links.get_mut(&token) else { continue };
-            let mut back = Vec::new();
-            if let Some(Writing::SetUp(attempt)) = link.writing.clone()
-                && link.take_back(attempt)
+    fn withdraw_set_ups(&mut self, shared: &mut Shared, streamer: StreamerId) {
+        let connections = self.pools.get(&streamer).map(|p| p.connections.clone()).unwrap_or_default();
+        for token in connections {
+            let Some(connection) = self.connections.get_mut(&token) else { continue };
+            let mut withdrawn = Vec::new();
+            if let Some(MessageInProgress::SetUp(attempt)) = connection.writing.clone()
+                && connection.withdraw_unwritten(attempt)
             {
-                back.push(attempt);
+                withdrawn.push(attempt);
             }
-            link.queue.retain(|saying| match saying {
-                Saying::SetUp { attempt, .. } => {
-                    back.push(*attempt);
+            connection.queue.retain(|message| match message {
+                QueuedMessage::SetUp { attempt, .. } => {
+                    withdrawn.push(*attempt);
                     false
                 }
                 _ => true,
             });
-            for attempt in back {
-                link.open.remove(&attempt.session);
+            for attempt in withdrawn {
+                connection.open_attempts.remove(&attempt.session);
                 shared.inputs.push(Input::Unsent(attempt, UnsentReason::Withdrawn));
             }
         }
     }
 
-    fn close_links(&mut self, shared: &mut Shared, streamer: StreamerId) {
-        let links = self.pools.get(&streamer).map(|p| p.links.clone()).unwrap_or_default();
-        links.into_iter().for_each(|token| self.down(shared, token));
+    fn close_connections(&mut self, shared: &mut Shared, streamer: StreamerId) {
+        let connections = self.pools.get(&streamer).map(|p| p.connections.clone()).unwrap_or_default();
+        connections.into_iter().for_each(|token| self.close(shared, token));
     }
 
     /// Passes a set-up on.
     pub fn send_set_up(&mut self, shared: &mut Shared, set_up: SetUp) {
         let SetUp { streamer, attempt, rung, until, send_by, parcel } = set_up;
         let session = attempt.session;
-        let token = match self.link_for(shared, streamer, Some(session)) {
+        let token = match self.connection_for(shared, streamer, Some(session)) {
             Ok(token) => token,
             Err(why) => return shared.inputs.push(Input::Unsent(attempt, why)),
         };
-        if let Some(link) = self.links.get_mut(&token) {
-            (link.used_at, link.carried) = (shared.now, true);
-            link.open.insert(session, (attempt.number, false));
-            link.queue.push_back(Saying::SetUp { attempt, rung, until, send_by, parcel });
+        if let Some(connection) = self.connections.get_mut(&token) {
+            (connection.last_used_at, connection.carried_set_up) = (shared.now, true);
+            connection.open_attempts.insert(session, (attempt.number, false));
+            connection.queue.push_back(QueuedMessage::SetUp { attempt, rung, until, send_by, parcel });
         }
-        self.pump(shared, token);
+        self.write_queue(shared, token);
     }
 
     /// Gives an attempt up; an input tells when that is done, and whether it had ever left.
     pub fn cancel_attempt(&mut self, shared: &mut Shared, streamer: StreamerId, attempt: Attempt) {
         let session = attempt.session;
-        let links = self.pools.get(&streamer).map(|p| p.links.clone()).unwrap_or_default();
-        let has = |t: &Token| {
-            let open = self.links.get(t).and_then(|l| l.open.get(&session));
-            open.is_some_and(|o| o.0 == attempt.number)
+        let connections = self.pools.get(&streamer).map(|p| p.connections.clone()).unwrap_or_default();
+        let carries_attempt = |t: &Token| {
+            let open = self.connections.get(t).and_then(|c| c.open_attempts.get(&session));
+            open.is_some_and(|(number, _)| *number == attempt.number)
         };
-        let Some(token) = links.into_iter().find(has) else {
+        let Some(token) = connections.into_iter().find(carries_attempt) else {
             shared.inputs.push(Input::GaveUp(attempt)); // its connection is closed: that gave it up
             return;
         };
-        let Some(link) = self.links.get_mut(&token) else { return };
-        let left = link.open.remove(&session).is_some_and(|o| o.1);
-        if left && !link.take_back(attempt) {
-            link.given_up.insert(session);
-            link.queue.push_back(Saying::GiveUp(attempt));
-            shared.wake(GIVE_UP_US, Due::GiveUp(token, attempt));
-            self.pump(shared, token);
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let started = connection.open_attempts.remove(&session).is_some_and(|(_, started)| started);
+        if started && !connection.withdraw_unwritten(attempt) {
+            connection.cancelled.insert(session);
+            connection.queue.push_back(QueuedMessage::Cancel(attempt));
+            shared.wake(CANCEL_WRITE_TIMEOUT_US, Due::GiveUp(token, attempt));
+            self.write_queue(shared, token);
         } else {
-            link.queue.retain(|s| !matches!(s, Saying::SetUp { attempt: a, .. } if *a == attempt));
+            connection
+                .queue
+                .retain(|s| !matches!(s, QueuedMessage::SetUp { attempt: a, .. } if *a == attempt));
             shared.inputs.push(Input::Unsent(attempt, UnsentReason::NoConnection));
         }
     }
 
     /// A give-up that a connection still holds back is carried out by closing it.
-    fn give_up_due(&mut self, shared: &mut Shared, token: Token, attempt: Attempt) {
-        let Some(link) = self.links.get(&token) else { return };
-        let waits = |s: &Saying| matches!(s, Saying::GiveUp(a) if *a == attempt);
-        if link.writing == Some(Writing::GiveUp(attempt)) || link.queue.iter().any(waits) {
+    fn cancel_deadline(&mut self, shared: &mut Shared, token: Token, attempt: Attempt) {
+        let Some(connection) = self.connections.get(&token) else { return };
+        let is_queued = |s: &QueuedMessage| matches!(s, QueuedMessage::Cancel(a) if *a == attempt);
+        if connection.writing == Some(MessageInProgress::Cancel(attempt))
+            || connection.queue.iter().any(is_queued)
+        {
             shared.counters.overfull += 1;
-            info!(shared.log, "a give-up can't be written, connection closed"; "streamer" => link.streamer.0);
-            self.down(shared, token);
+            let streamer = connection.streamer.0;
+            info!(shared.log, "a give-up can't be written, connection closed"; "streamer" => streamer);
+            self.close(shared, token);
         }
     }
 
-    /// Releases a session that stands, or sets its rung. `acts`: the session, where this director does so by
-    /// its own will.
+    /// Releases a session that stands, or sets its rung. `acting_on`: the session, where this director does
+    /// so by its own will.
     pub fn send_control(
         &mut self,
         shared: &mut Shared,
         streamer: StreamerId,
         bytes: Vec<u8>,
-        acts: Option<RequestId>,
+        acting_on: Option<RequestId>,
     ) {
-        let up = self.pools.get(&streamer).and_then(|p| self.up_link(p));
-        match up.and_then(|token| Some((token, self.links.get_mut(&token)?))) {
-            Some((token, link)) => {
-                link.queue.push_back(Saying::Word(bytes, acts));
-                self.pump(shared, token);
+        let token = self.pools.get(&streamer).and_then(|p| self.control_connection(p));
+        match token.and_then(|token| Some((token, self.connections.get_mut(&token)?))) {
+            Some((token, connection)) => {
+                connection.queue.push_back(QueuedMessage::Control(bytes, acting_on));
+                self.write_queue(shared, token);
             }
             None => {
-                if let Some(pool) = self.pools.get_mut(&streamer).filter(|p| p.unsaid.len() < QUEUE_MOST) {
-                    pool.unsaid.push_back((shared.now, bytes, acts));
+                if let Some(pool) =
+                    self.pools.get_mut(&streamer).filter(|p| p.unsent_control.len() < MAX_QUEUED_MESSAGES)
+                {
+                    pool.unsent_control.push_back((shared.now, bytes, acting_on));
                 }
                 self.ensure_connected(shared, streamer);
             }
@@ -223,7 +230,7 @@
 
     /// Asks a streamer for its load.
     pub fn probe(&mut self, shared: &mut Shared, streamer: StreamerId) {
-        let token = match self.link_for(shared, streamer, None) {
+        let token = match self.connection_for(shared, streamer, None) {
             Ok(token) => token,
             Err(why) => {
                 let outcome =
@@ -232,23 +239,23 @@
                 return shared.inputs.push(Input::Probed { streamer, outcome, report });
             }
         };
-        self.last_test += 1;
-        let id = RequestId(self.last_test);
-        if let Some(link) = self.links.get_mut(&token) {
-            link.used_at = shared.now;
-            link.tests.insert(id);
-            link.queue.push_back(Saying::Word(rtsp::load_probe(id), None));
-            let dialing = if link.up { 0 } else { self.transport.dial_timeout_us };
-            shared.wake(self.transport.dial_timeout_us + dialing, Due::Probe(token, id));
+        self.last_probe_id += 1;
+        let id = RequestId(self.last_probe_id);
+        if let Some(connection) = self.connections.get_mut(&token) {
+            connection.last_used_at = shared.now;
+            connection.probes.insert(id);
+            connection.queue.push_back(QueuedMessage::Control(rtsp::load_probe(id), None));
+            let dial_allowance_us = if connection.connected { 0 } else { self.transport.dial_timeout_us };
+            shared.wake(self.transport.dial_timeout_us + dial_allowance_us, Due::Probe(token, id));
         }
-        self.pump(shared, token);
+        self.write_queue(shared, token);
     }
 
     /// A load test without an answer.
-    fn probe_due(&mut self, shared: &mut Shared, token: Token, id: RequestId) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        if link.tests.remove(&id) {
-            let (streamer, report) = (link.streamer, LoadReport::default());
+    fn probe_deadline(&mut self, shared: &mut Shared, token: Token, id: RequestId) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if connection.probes.remove(&id) {
+            let (streamer, report) = (connection.streamer, LoadReport::default());
             shared.inputs.push(Input::Probed { streamer, outcome: Outcome::TimedOut, report });
         }
     }
@@ -256,7 +263,7 @@
     /// Sees to it that what concerns the sessions at a streamer can come in.
     pub fn ensure_connected(&mut self, shared: &mut Shared, streamer: StreamerId) {
         let Some(pool) = self.pools.get(&streamer) else { return };
-        if pool.links.is_empty() && pool.dial_at <= shared.now {
+        if pool.connections.is_empty() && pool.next_dial_at <= shared.now {
             let _ = self.dial(shared, streamer); // the watch tries again
         }
     }
@@ -264,21 +271,21 @@
 
 impl Part for Streamers {
     fn owns(&self, token: Token) -> bool {
-        self.links.contains_key(&token)
+        self.connections.contains_key(&token)
     }
 
     fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
-        self.exchange(shared, ready);
+        self.handle_ready(shared, ready);
     }
 
     fn due(&mut self, shared: &mut Shared, director: &Director, due: Due) -> bool {
         match due {
-            Due::Dial(token) => self.dial_due(shared, token),
-            Due::Probe(token, id) => self.probe_due(shared, token, id),
-            Due::GiveUp(token, attempt) => self.give_up_due(shared, token, attempt),
+            Due::Dial(token) => self.dial_deadline(shared, token),
+            Due::Probe(token, id) => self.probe_deadline(shared, token, id),
+            Due::GiveUp(token, attempt) => self.cancel_deadline(shared, token, attempt),
             Due::Watch => {
-                self.watch(shared, |s| director.sessions_at(s));
-                shared.wake(WATCH_US, Due::Watch);
+                self.check_connections(shared, |s| director.sessions_at(s));
+                shared.wake(CHECK_INTERVAL_US, Due::Watch);
             }
             _ => return false,
         }
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -2,11 +2,12 @@
 use super::super::line::Line;
 use super::super::poll::Token;
 use super::super::shared::{Due, Shared};
-use super::link::Link;
+use super::link::StreamerConnection;
 use super::{
-    GIVEN_UP_MOST, HEARD_US, LOST_US, Pool, QUEUE_MOST, REDIAL_US, REDIAL_WORDS_US, REFUSED_US, SILENT_US,
+    CONTROL_REDIAL_DELAY_US, MAX_CANCELLED_SET_UPS, MAX_QUEUED_MESSAGES, Pool, RECENT_INPUT_US,
+    REDIAL_INTERVAL_US, REFUSED_LOST_US, SILENCE_CHECK_US, UNREACHABLE_LOST_US,
 };
-use super::{Streamers, WORDS_KEPT_US};
+use super::{CONTROL_RETENTION_US, Streamers};
 use crate::director::{Input, UnsentReason};
 use crate::interface::{Micros, RequestId, StreamerId};
 use slog::{debug, warn};
@@ -15,7 +16,7 @@
 
 impl Streamers {
     /// The connection for a set-up or a test: one that is up and certain, else a new one.
-    pub(super) fn link_for(
+    pub(super) fn connection_for(
         &mut self,
         shared: &mut Shared,
         streamer: StreamerId,
@@ -24,44 +25,53 @@
         let pool = self.pools.get(&streamer).ok_or(UnsentReason::Withdrawn)?;
         // Where new connections have a price, one is used as long as nothing speaks against its streamer.
         let trusted = self.transport.handshake_price > 0.0 && pool.failing_since.is_none();
-        let fits = |l: &&Link| {
-            let lately = l.used_at.saturating_add(self.transport.connection_reuse_us()) > shared.now;
-            let heard = trusted || l.heard_at.saturating_add(HEARD_US) > shared.now;
-            let apart = session.is_none_or(|s| !l.given_up.contains(&s) && !l.open.contains_key(&s));
-            let room = l.open.len() < self.transport.set_ups_per_connection
-                && l.queue.len() < QUEUE_MOST
-                && l.given_up.len() < GIVEN_UP_MOST;
-            apart && room && (!l.up || (lately && heard))
+        let is_suitable = |c: &&StreamerConnection| {
+            let recently_used =
+                c.last_used_at.saturating_add(self.transport.connection_reuse_us()) > shared.now;
+            let streamer_alive = trusted || c.last_received_at.saturating_add(RECENT_INPUT_US) > shared.now;
+            let session_unknown =
+                session.is_none_or(|s| !c.cancelled.contains(&s) && !c.open_attempts.contains_key(&s));
+            let has_capacity = c.open_attempts.len() < self.transport.set_ups_per_connection
+                && c.queue.len() < MAX_QUEUED_MESSAGES
+                && c.cancelled.len() < MAX_CANCELLED_SET_UPS;
+            session_unknown && has_capacity && (!c.connected || (recently_used && streamer_alive))
         };
-        let links = pool.links.iter().filter_map(|t| self.links.get(t)).filter(fits);
-        match links.max_by_key(|l| (l.up, l.carried, l.heard_at)).map(|l| l.line.token()) {
+        let connections = pool.connections.iter().filter_map(|t| self.connections.get(t)).filter(is_suitable);
+        match connections
+            .max_by_key(|c| (c.connected, c.carried_set_up, c.last_received_at))
+            .map(|c| c.socket.token())
+        {
             Some(token) => Ok(token),
             None => self.dial(shared, streamer),
         }
     }
 
     /// The connection for a word: any that is up, best the one heard of last.
-    pub(super) fn up_link(&self, pool: &Pool) -> Option<Token> {
-        let up = pool.links.iter().filter_map(|t| self.links.get(t)).filter(|l| l.up);
-        up.filter(|l| l.queue.len() < QUEUE_MOST).max_by_key(|l| l.heard_at).map(|l| l.line.token())
+    pub(super) fn control_connection(&self, pool: &Pool) -> Option<Token> {
+        let connected =
+            pool.connections.iter().filter_map(|t| self.connections.get(t)).filter(|c| c.connected);
+        connected
+            .filter(|c| c.queue.len() < MAX_QUEUED_MESSAGES)
+            .max_by_key(|c| c.last_received_at)
+            .map(|c| c.socket.token())
     }
 
     /// Begins a new connection. What only this machine lacks for it says nothing of the streamer.
     pub(super) fn dial(&mut self, shared: &mut Shared, streamer: StreamerId) -> Result<Token, UnsentReason> {
-        if self.links.len() >= self.most {
-            let unused = |l: &&Link| {
-                let waits = !l.queue.is_empty() || l.line.unwritten() > 0;
-                l.up && l.open.is_empty() && l.tests.is_empty() && !waits
+        if self.connections.len() >= self.max_connections {
+            let unused = |c: &&StreamerConnection| {
+                let has_unwritten = !c.queue.is_empty() || c.socket.unwritten() > 0;
+                c.connected && c.open_attempts.is_empty() && c.probes.is_empty() && !has_unwritten
             };
-            let oldest = self.links.values().filter(unused).min_by_key(|l| l.used_at);
-            let oldest = oldest.map(|l| l.line.token()).ok_or(UnsentReason::Withdrawn)?;
-            self.make_room(shared, oldest);
+            let oldest = self.connections.values().filter(unused).min_by_key(|c| c.last_used_at);
+            let oldest = oldest.map(|c| c.socket.token()).ok_or(UnsentReason::Withdrawn)?;
+            self.close_to_make_room(shared, oldest);
         }
         let pool = self.pools.get_mut(&streamer).ok_or(UnsentReason::Withdrawn)?;
-        pool.dial_at = shared.now.saturating_add(REDIAL_US);
-        pool.cut = false;
-        let line = match Line::dial(&mut shared.poll, pool.address.ok_or(UnsentReason::Withdrawn)?) {
-            Ok(line) => line,
+        pool.next_dial_at = shared.now.saturating_add(REDIAL_INTERVAL_US);
+        pool.input_may_be_lost = false;
+        let socket = match Line::dial(&mut shared.poll, pool.address.ok_or(UnsentReason::Withdrawn)?) {
+            Ok(socket) => socket,
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => {
                 self.dial_failed(shared, streamer, shared.now, &why);
                 return Err(UnsentReason::NoConnection);
@@ -72,34 +82,37 @@
                 return Err(UnsentReason::Withdrawn);
             }
         };
-        let token = line.token();
-        pool.links.insert(token);
-        let link = Link {
+        let token = socket.token();
+        pool.connections.insert(token);
+        let connection = StreamerConnection {
             streamer,
-            line,
-            up: false,
+            socket,
+            connected: false,
             queue: VecDeque::new(),
             writing: None,
-            open: BTreeMap::new(),
-            given_up: BTreeSet::new(),
-            tests: BTreeSet::new(),
-            carried: false,
-            used_at: shared.now,
-            heard_at: 0,
-            spoilt: false,
-            cut: false,
+            open_attempts: BTreeMap::new(),
+            cancelled: BTreeSet::new(),
+            probes: BTreeSet::new(),
+            carried_set_up: false,
+            last_used_at: shared.now,
+            last_received_at: 0,
+            input_unparseable: false,
+            input_may_be_lost: false,
         };
-        self.links.insert(token, link);
+        self.connections.insert(token, connection);
         shared.counters.streamer_connections += 1;
         shared.wake(self.transport.dial_timeout_us, Due::Dial(token));
         Ok(token)
     }
 
     /// Closes a connection for another one. A release that crosses the close is said again on a new one.
-    fn make_room(&mut self, shared: &mut Shared, token: Token) {
+    fn close_to_make_room(&mut self, shared: &mut Shared, token: Token) {
         self.read(shared, token);
-        self.links.get_mut(&token).into_iter().for_each(|link| link.cut = true);
-        self.down(shared, token);
+        self.connections
+            .get_mut(&token)
+            .into_iter()
+            .for_each(|connection| connection.input_may_be_lost = true);
+        self.close(shared, token);
     }
 
     pub(super) fn dial_failed(
@@ -113,67 +126,77 @@
         shared.inputs.push(Input::Contact { streamer, up: false });
         debug!(shared.log, "no connection: {why}"; "streamer" => streamer.0);
         let Some(pool) = self.pools.get_mut(&streamer) else { return };
-        pool.dial_at = shared.now.saturating_add(REDIAL_US);
+        pool.next_dial_at = shared.now.saturating_add(REDIAL_INTERVAL_US);
         let refused = why.kind() == io::ErrorKind::ConnectionRefused;
-        if refused && pool.links.iter().any(|t| self.links.get(t).is_some_and(|l| l.up)) {
-            pool.heard_at = shared.now; // it runs, only takes no more connections
+        if refused && pool.connections.iter().any(|t| self.connections.get(t).is_some_and(|c| c.connected)) {
+            pool.last_received_at = shared.now; // it runs, only takes no more connections
         }
-        pool.refused = refused;
+        pool.dial_refused = refused;
         pool.failing_since.get_or_insert(since);
     }
 
     /// A connection that has not come up in time never does.
-    pub(super) fn dial_due(&mut self, shared: &mut Shared, token: Token) {
-        if self.links.get(&token).is_some_and(|l| !l.up) {
-            self.never_up(shared, token, &io::ErrorKind::TimedOut.into());
+    pub(super) fn dial_deadline(&mut self, shared: &mut Shared, token: Token) {
+        if self.connections.get(&token).is_some_and(|c| !c.connected) {
+            self.connect_failed(shared, token, &io::ErrorKind::TimedOut.into());
         }
     }
 
-    pub(super) fn never_up(&mut self, shared: &mut Shared, token: Token, why: &io::Error) {
-        let Some(streamer) = self.links.get(&token).map(|l| l.streamer) else { return };
-        let since = self.links.get(&token).map_or(0, |l| l.used_at);
-        self.down(shared, token);
+    pub(super) fn connect_failed(&mut self, shared: &mut Shared, token: Token, why: &io::Error) {
+        let Some(streamer) = self.connections.get(&token).map(|c| c.streamer) else { return };
+        let since = self.connections.get(&token).map_or(0, |c| c.last_used_at);
+        self.close(shared, token);
         self.dial_failed(shared, streamer, since, why);
     }
 
     /// Looks after all connections: keeps one to each streamer with sessions, checks on silent ones, closes
     /// idle ones before their streamer does.
-    pub(super) fn watch(&mut self, shared: &mut Shared, standing_at: impl Fn(StreamerId) -> usize) {
+    pub(super) fn check_connections(
+        &mut self,
+        shared: &mut Shared,
+        sessions_at: impl Fn(StreamerId) -> usize,
+    ) {
         let now = shared.now;
-        let idle = |l: &&Link| {
-            l.up && l.open.is_empty()
-                && l.tests.is_empty()
-                && l.queue.is_empty()
-                && l.line.unwritten() == 0
-                && l.used_at.saturating_add(self.transport.idle_timeout_us / 5 * 4) <= now
-                && standing_at(l.streamer) == 0
+        let is_idle = |c: &&StreamerConnection| {
+            c.connected
+                && c.open_attempts.is_empty()
+                && c.probes.is_empty()
+                && c.queue.is_empty()
+                && c.socket.unwritten() == 0
+                && c.last_used_at.saturating_add(self.transport.idle_timeout_us / 5 * 4) <= now
+                && sessions_at(c.streamer) == 0
         };
-        let idle: Vec<Token> = self.links.values().filter(idle).map(|l| l.line.token()).collect();
-        idle.into_iter().for_each(|token| self.down(shared, token));
+        let idle: Vec<Token> = self.connections.values().filter(is_idle).map(|c| c.socket.token()).collect();
+        idle.into_iter().for_each(|token| self.close(shared, token));
         let ids: Vec<StreamerId> = self.pools.keys().copied().collect();
         for streamer in ids {
             let Some(pool) = self.pools.get_mut(&streamer) else { continue };
-            while pool.unsaid.front().is_some_and(|kept| kept.0.saturating_add(WORDS_KEPT_US) <= now) {
-                pool.unsaid.pop_front();
+            while pool
+                .unsent_control
+                .front()
+                .is_some_and(|(queued_at, ..)| queued_at.saturating_add(CONTROL_RETENTION_US) <= now)
+            {
+                pool.unsent_control.pop_front();
             }
-            let sessions = standing_at(streamer) > 0;
-            let links = || pool.links.iter().filter_map(|t| self.links.get(t));
-            let dialing = links().any(|l| !l.up);
-            let silent = sessions && pool.heard_at.saturating_add(SILENT_US) <= now;
-            let failing = pool.failing_since.filter(|since| sessions && pool.heard_at <= *since);
-            let patience = if pool.refused { REFUSED_US } else { LOST_US };
-            if failing.is_some_and(|since| since.saturating_add(patience) <= now) {
+            let has_sessions = sessions_at(streamer) > 0;
+            let pool_connections = || pool.connections.iter().filter_map(|t| self.connections.get(t));
+            let dialing = pool_connections().any(|c| !c.connected);
+            let silent = has_sessions && pool.last_received_at.saturating_add(SILENCE_CHECK_US) <= now;
+            let failing = pool.failing_since.filter(|since| has_sessions && pool.last_received_at <= *since);
+            let loss_delay_us = if pool.dial_refused { REFUSED_LOST_US } else { UNREACHABLE_LOST_US };
+            if failing.is_some_and(|since| since.saturating_add(loss_delay_us) <= now) {
                 warn!(shared.log, "lost, its sessions are released"; "streamer" => streamer.0);
                 pool.failing_since = None;
-                self.close_links(shared, streamer);
+                self.close_connections(shared, streamer);
                 shared.inputs.push(Input::Lost(streamer));
                 continue;
             }
-            let words = !pool.unsaid.is_empty() && pool.dial_at.saturating_add(REDIAL_WORDS_US) <= now;
-            let unattended = pool.links.is_empty() && (sessions || words);
+            let control_due = !pool.unsent_control.is_empty()
+                && pool.next_dial_at.saturating_add(CONTROL_REDIAL_DELAY_US) <= now;
+            let needs_connection = pool.connections.is_empty() && (has_sessions || control_due);
             // A streamer says releases again on the next connection, and there alone.
-            let cut = sessions && pool.cut;
-            if !dialing && (unattended || silent || cut) && pool.dial_at <= now {
+            let input_lost = has_sessions && pool.input_may_be_lost;
+            if !dialing && (needs_connection || silent || input_lost) && pool.next_dial_at <= now {
                 let _ = self.dial(shared, streamer); // the next watch tries again
             }
         }
--- a/src/platform/rtsp.rs
+++ b/src/platform/rtsp.rs
@@ -12,16 +12,24 @@
 const CSEQ_PROBE: u32 = 3;
 const CSEQ_SET_RUNG: u32 = 4;
 const MAX_HEADERS: usize = 32;
+/// Initial buffer capacity for the start line and the header fields that every request has.
+const REQUEST_HEAD_CAPACITY: usize = 160;
 
-/// Cause with which the director ends a session at a streamer.
-const CAUSE_RELEASED: u8 = 31;
+const STATUS_QUEUE_FULL: u16 = 453;
+const STATUS_IGNORED: u16 = 454;
+const STATUS_RESET: u16 = 504;
+
+/// Cause of a session that ran to completion.
+pub const CAUSE_COMPLETED: u8 = 16;
+/// Cause of a session that ended on request. The director releases sessions with it, too.
+pub const CAUSE_RELEASED: u8 = 31;
 
 /// What a streamer can get wrong so that its connection can't go on.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RtspError {
     /// The first line is of no known form.
     #[error("a first line that is not RTSP")]
-    FirstLine,
+    StartLine,
     /// The header lines can't be read.
     #[error("bad header lines: {0}")]
     Headers(#[from] httparse::Error),
@@ -53,24 +61,24 @@
     Irrelevant,
 }
 
-enum First<'a> {
+enum StartLine<'a> {
     Request(&'a str),
-    Answer(u16),
+    Response(u16),
 }
 
 /// Reads one message; `None` where it is not whole yet. Also tells how many bytes it took.
 pub fn read(bytes: &[u8]) -> Result<Option<(FromStreamer, usize)>, RtspError> {
     // Empty lines before a message mean nothing.
-    let empty = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-    let bytes = bytes.get(empty..).unwrap_or_default();
-    let seen = &bytes[..bytes.len().min(MESSAGE_MAX)];
-    let unfinished = if bytes.len() >= MESSAGE_MAX { Err(RtspError::TooLong) } else { Ok(None) };
-    let Some(line_end) = seen.iter().position(|b| *b == b'\n') else { return unfinished };
-    let first = first_line(&seen[..line_end])?;
-    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let (headers_len, headers) = match httparse::parse_headers(&seen[line_end + 1..], &mut slots)? {
-        httparse::Status::Complete(done) => done,
-        httparse::Status::Partial => return unfinished,
+    let blank = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+    let bytes = bytes.get(blank..).unwrap_or_default();
+    let bounded = &bytes[..bytes.len().min(MESSAGE_MAX)];
+    let incomplete = if bytes.len() >= MESSAGE_MAX { Err(RtspError::TooLong) } else { Ok(None) };
+    let Some(line_end) = bounded.iter().position(|b| *b == b'\n') else { return incomplete };
+    let start_line = parse_start_line(&bounded[..line_end])?;
+    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let (headers_len, headers) = match httparse::parse_headers(&bounded[line_end + 1..], &mut header_slots)? {
+        httparse::Status::Complete(parsed) => parsed,
+        httparse::Status::Partial => return incomplete,
     };
     let field = |name: &str| {
         let header = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
@@ -83,23 +91,23 @@
     let start = line_end + 1 + headers_len;
     let end = start.checked_add(length).filter(|end| *end <= MESSAGE_MAX).ok_or(RtspError::TooLong)?;
     let Some(body) = bytes.get(start..end) else { return Ok(None) };
-    Ok(Some((message(&first, field, body)?, empty + end)))
+    Ok(Some((parse_message(&start_line, field, body)?, blank + end)))
 }
 
-fn first_line(line: &[u8]) -> Result<First<'_>, RtspError> {
-    let line = std::str::from_utf8(line).map_err(|_| RtspError::FirstLine)?.trim_end_matches('\r');
+fn parse_start_line(line: &[u8]) -> Result<StartLine<'_>, RtspError> {
+    let line = std::str::from_utf8(line).map_err(|_| RtspError::StartLine)?.trim_end_matches('\r');
     let mut words = line.splitn(3, ' ');
     match (words.next(), words.next(), words.next()) {
         (Some("RTSP/1.0"), Some(code), _) if code.len() == 3 => {
-            code.parse().map(First::Answer).map_err(|_| RtspError::FirstLine)
+            code.parse().map(StartLine::Response).map_err(|_| RtspError::StartLine)
         }
-        (Some(method), Some(_), Some("RTSP/1.0")) if !method.is_empty() => Ok(First::Request(method)),
-        _ => Err(RtspError::FirstLine),
+        (Some(method), Some(_), Some("RTSP/1.0")) if !method.is_empty() => Ok(StartLine::Request(method)),
+        _ => Err(RtspError::StartLine),
     }
 }
 
-fn message<'a>(
-    first: &First<'_>,
+fn parse_message<'a>(
+    start_line: &StartLine<'_>,
     field: impl Fn(&str) -> Option<&'a str>,
     body: &[u8],
 ) -> Result<FromStreamer, RtspError> {
@@ -107,18 +115,18 @@
         let id = field("Session").and_then(|text| u64::from_str_radix(text, 16).ok());
         id.map(RequestId).ok_or(RtspError::Field("Session"))
     };
-    let report = || field("P-Load").map(load).unwrap_or_default();
-    match first {
-        First::Answer(code) => {
+    let report = || field("P-Load").map(parse_load_report).unwrap_or_default();
+    match start_line {
+        StartLine::Response(code) => {
             let cseq: u32 = field("CSeq").and_then(|c| c.parse().ok()).ok_or(RtspError::Field("CSeq"))?;
             match (cseq, code) {
                 (CSEQ_SET_UP, 100..=199) => Ok(FromStreamer::Irrelevant),
                 (CSEQ_SET_UP, 200..=299) => Ok(FromStreamer::Established(session()?, body.to_vec())),
                 (CSEQ_SET_UP, _) => {
-                    let outcome = match code {
-                        453 => Outcome::QueueFull,
-                        454 => Outcome::Ignored,
-                        504 => Outcome::Reset,
+                    let outcome = match *code {
+                        STATUS_QUEUE_FULL => Outcome::QueueFull,
+                        STATUS_IGNORED => Outcome::Ignored,
+                        STATUS_RESET => Outcome::Reset,
                         _ => Outcome::Failed,
                     };
                     Ok(FromStreamer::Rejected(session()?, outcome, report()))
@@ -133,13 +141,13 @@
                 _ => Ok(FromStreamer::Irrelevant),
             }
         }
-        First::Request("TEARDOWN") => {
-            let reason =
+        StartLine::Request("TEARDOWN") => {
+            let cause_text =
                 field("Reason").and_then(|r| r.split(';').find_map(|p| p.trim().strip_prefix("cause=")));
-            let cause = reason.and_then(|c| c.trim().parse().ok());
+            let cause = cause_text.and_then(|c| c.trim().parse().ok());
             Ok(FromStreamer::Released(session()?, cause, body.to_vec(), report()))
         }
-        First::Request("ANNOUNCE") => {
+        StartLine::Request("ANNOUNCE") => {
             let kind = match field("Warning-Word").ok_or(RtspError::Field("Warning-Word"))? {
                 "served" => Some(NoteKind::Delivered),
                 "at_rung" => Some(NoteKind::Rung),
@@ -150,12 +158,12 @@
             let value = field("X-Reading").and_then(|v| v.parse().ok()).filter(|v: &f64| v.is_finite());
             Ok(FromStreamer::Note(session()?, kind, value.ok_or(RtspError::Field("X-Reading"))?))
         }
-        First::Request(_) => Ok(FromStreamer::Irrelevant),
+        StartLine::Request(_) => Ok(FromStreamer::Irrelevant),
     }
 }
 
 /// A report's fields; both the words of the platform and those of the settings are taken.
-fn load(text: &str) -> LoadReport {
+fn parse_load_report(text: &str) -> LoadReport {
     let value = |name: &str| {
         let mut pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
         let found = pairs.find(|(key, _)| key.trim() == name)?.1.trim().parse::<f64>().ok()?;
@@ -170,13 +178,20 @@
     })
 }
 
-fn request(method: &str, address: &str, cseq: u32, session: RequestId, fields: &str, body: &[u8]) -> Vec<u8> {
-    let mut head = String::with_capacity(160 + fields.len());
+fn encode_request(
+    method: &str,
+    path: &str,
+    cseq: u32,
+    session: RequestId,
+    header_fields: &str,
+    body: &[u8],
+) -> Vec<u8> {
+    let mut head = String::with_capacity(REQUEST_HEAD_CAPACITY + header_fields.len());
     // Writing into a string does not fail.
     let _ = write!(
         head,
-        "{method} rtsp://media/{address} RTSP/1.0\r\nCSeq: {cseq}\r\nSession: {:016x}\r\n\
-         {fields}Content-Length: {}\r\n\r\n",
+        "{method} rtsp://media/{path} RTSP/1.0\r\nCSeq: {cseq}\r\nSession: {:016x}\r\n\
+         {header_fields}Content-Length: {}\r\n\r\n",
         session.0,
         body.len()
     );
@@ -189,27 +204,27 @@
 pub fn set_up(session: RequestId, parcel: &Parcel, rung: usize, wait_ms: u64) -> Option<Vec<u8>> {
     let fields =
         format!("Priority-Class: {}\r\nExpires-Ms: {wait_ms}\r\nX-Quality: {rung}\r\n", parcel.class);
-    let bytes = request("SETUP", &parcel.title, CSEQ_SET_UP, session, &fields, &parcel.description);
+    let bytes = encode_request("SETUP", &parcel.title, CSEQ_SET_UP, session, &fields, &parcel.description);
     Some(bytes).filter(|b| b.len() <= MESSAGE_MAX)
 }
 
 /// The set-up is given up.
 pub fn cancel(session: RequestId) -> Vec<u8> {
-    request("TEARDOWN", "session", CSEQ_RELEASE, session, "", b"")
+    encode_request("TEARDOWN", "session", CSEQ_RELEASE, session, "", b"")
 }
 
 /// A session that stands is released by the director.
 pub fn release(session: RequestId) -> Vec<u8> {
     let fields = format!("Reason: cause={CAUSE_RELEASED}\r\n");
-    request("TEARDOWN", "session", CSEQ_RELEASE, session, &fields, b"")
+    encode_request("TEARDOWN", "session", CSEQ_RELEASE, session, &fields, b"")
 }
 
 /// A new rung for a session that plays.
 pub fn set_rung(session: RequestId, rung: usize) -> Vec<u8> {
-    request("SET_PARAMETER", "session", CSEQ_SET_RUNG, session, &format!("X-Quality: {rung}\r\n"), b"")
+    encode_request("SET_PARAMETER", "session", CSEQ_SET_RUNG, session, &format!("X-Quality: {rung}\r\n"), b"")
 }
 
 /// A test that asks for the streamer's load.
 pub fn load_probe(id: RequestId) -> Vec<u8> {
-    request("OPTIONS", "load", CSEQ_PROBE, id, "", b"")
+    encode_request("OPTIONS", "load", CSEQ_PROBE, id, "", b"")
 }
