--- a/src/net/streamers/exchange.rs
+++ b/src/net/streamers/exchange.rs
@@ -1,4 +1,4 @@
-//! Bytes on the connections to streamers: reading, writing message by message, and how a connection ends.
+//! I/O on the connections to streamers: reading, writing message by message, and closing.
 use super::super::line::Got;
 use super::super::part::Ready;
 use super::super::poll::Token;
@@ -12,7 +12,7 @@
 use std::io;
 
 impl Streamers {
-    /// Reads and writes a connection that is ready.
+    /// Handles a connection that became readable or writable.
     pub(super) fn handle_ready(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if !connection.connected {
@@ -41,25 +41,25 @@
         }
     }
 
-    /// Writes to the connections that became ready for it, once the core has heard all that came in the same
-    /// turn: a set-up that waited for its connection does not go out when its viewer's close or the drain of
-    /// its streamer has come meanwhile.
+    /// Writes to the connections that became writable. This happens after the core has processed all inputs
+    /// of the same turn, so that a set-up that waited for its connection is not sent if its viewer has closed
+    /// or its streamer has started to drain meanwhile.
     pub fn flush(&mut self, shared: &mut Shared) {
         for token in std::mem::take(&mut self.writable) {
             self.write_queue(shared, token);
         }
     }
 
-    /// Whether something is still to be written on a connection that is up.
+    /// Whether an established connection has data that is not written yet.
     pub fn has_unwritten(&self) -> bool {
         self.connections.values().any(|c| c.connected && (c.socket.unwritten() > 0 || !c.queue.is_empty()))
     }
 
-    /// A connection that can't be written to any more. What came on it before is still heard: an answer may
-    /// be among it.
+    /// Closes a connection after a write error. What was received on it before is still processed, because it
+    /// may contain an answer.
     fn write_failed(&mut self, shared: &mut Shared, token: Token, why: &io::Error) {
         let streamer = self.connections.get(&token).map(|c| c.streamer.0);
-        debug!(shared.log, "connection broke: {why}"; "streamer" => streamer);
+        debug!(shared.log, "write to streamer failed; closing the connection: {why}"; "streamer" => streamer);
         self.read(shared, token);
         self.connections
             .get_mut(&token)
@@ -68,6 +68,8 @@
         self.close(shared, token);
     }
 
+    /// Reads a connection and processes the complete messages on it. Closes it after its end, a read error or
+    /// a malformed message.
     pub(super) fn read(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let read_result = connection.socket.read();
@@ -82,7 +84,8 @@
         if let Some(why) = parse_error {
             shared.counters.malformed += 1;
             let streamer = connection.streamer.0;
-            warn!(shared.log, "malformed message, connection closed: {why}"; "streamer" => streamer);
+            warn!(shared.log, "malformed message from streamer; closing the connection: {why}";
+                "streamer" => streamer);
             (connection.input_unparseable, connection.input_may_be_lost) = (true, true);
             return self.close(shared, token);
         }
@@ -90,14 +93,16 @@
             Ok(Got::Bytes) => {}
             Ok(Got::End) => self.close(shared, token),
             Err(why) => {
-                debug!(shared.log, "connection broke: {why}"; "streamer" => connection.streamer.0);
+                let streamer = connection.streamer.0;
+                debug!(shared.log, "read from streamer failed; closing the connection: {why}";
+                    "streamer" => streamer);
                 connection.input_may_be_lost = true;
                 self.close(shared, token);
             }
         }
     }
 
-    /// Writes what waits on a connection, message by message.
+    /// Writes the queued messages of a connection, one by one, until it accepts no more.
     pub(super) fn write_queue(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token).filter(|c| c.connected) else { return };
         let streamer_up = self.pools.get(&connection.streamer).is_some_and(|p| p.standing == Standing::Up);
@@ -114,13 +119,13 @@
             }
             match connection.queue.pop_front() {
                 None => return,
-                // By a leave that ran out meanwhile nothing goes out.
+                // Not sent if this director's permission to act on the session expired while it was queued.
                 Some(QueuedMessage::Control(_, Some(session))) if !shared.may_act(session) => {}
                 Some(QueuedMessage::Control(bytes, acting_on)) => {
                     connection.socket.put(&bytes);
                     connection.writing = Some(MessageInProgress::Control(bytes, acting_on));
                 }
-                // What is another's is not ended from here.
+                // The session may belong to another director by now, and must not be ended by this one.
                 Some(QueuedMessage::Cancel(attempt)) if !shared.may_act(attempt.session) => {
                     shared.inputs.push(Input::GaveUp(attempt));
                 }
@@ -131,7 +136,7 @@
                 Some(QueuedMessage::SetUp { attempt, rung, until, send_by, parcel }) => {
                     let wait_ms = until.saturating_sub(shared.now) / 1000;
                     let bytes = rtsp::set_up(attempt.session, &parcel, rung, wait_ms);
-                    // All of this is looked at as the bytes go out: the set-up may have waited.
+                    // These conditions are checked at the time of sending, since the set-up may have waited.
                     let in_time = wait_ms > 0 && shared.now < send_by;
                     match bytes.filter(|_| streamer_up && in_time && shared.may_act(attempt.session)) {
                         Some(bytes) => {
@@ -149,7 +154,7 @@
         }
     }
 
-    /// Ends a connection: what was out on it is over, each in the way that can be proved.
+    /// Closes a connection. Everything outstanding on it ends with the outcome that can be proved.
     pub(super) fn close(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.remove(&token) else { return };
         let streamer = connection.streamer;
@@ -172,7 +177,7 @@
         let Some(pool) = self.pools.get_mut(&streamer) else { return };
         pool.connections.remove(&token);
         pool.input_may_be_lost |= connection.input_may_be_lost;
-        // One that was cut in the middle was not understood; a whole one said again does no harm.
+        // A message that was cut off was not processed, and sending a complete one twice does no harm.
         if let Some(MessageInProgress::Control(bytes, acting_on)) = connection.writing {
             pool.unsent_control.push_back((shared.now, bytes, acting_on));
         }
--- a/src/net/streamers/link.rs
+++ b/src/net/streamers/link.rs
@@ -1,5 +1,5 @@
-//! One connection to a streamer: what is queued, written and open on it, and what its messages mean to the
-//! core.
+//! One connection to a streamer: its message queue, its open attempts, and the translation of the streamer's
+//! messages into inputs of the core.
 use super::super::line::Line;
 use super::super::shared::Shared;
 use crate::director::{Attempt, Input, Parcel, SessionEnd};
@@ -8,20 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
+/// A message that waits to be written.
 pub enum QueuedMessage {
     SetUp {
         attempt: Attempt,
         rung: usize,
         until: Micros,
-        /// Its first byte must have left by then.
+        /// Latest time to send the first byte.
         send_by: Micros,
         parcel: Rc<Parcel>,
     },
     Cancel(Attempt),
-    /// A word; with a session, one that this director says by its own will.
+    /// Any other encoded message; with the session if this director acts on it by its own decision.
     Control(Vec<u8>, Option<RequestId>),
 }
 
+/// The message that is being written.
 #[derive(Clone, PartialEq, Eq)]
 pub enum MessageInProgress {
     SetUp(Attempt),
@@ -35,24 +37,27 @@
     pub socket: Line,
     pub connected: bool,
     pub queue: VecDeque<QueuedMessage>,
-    /// What is being written, where that matters.
+    /// The message that was last handed to the socket, until it is completely written.
     pub writing: Option<MessageInProgress>,
-    /// Open set-ups: number of the attempt, and whether a byte of it has left.
+    /// Open set-ups: attempt number, and whether the set-up was handed to the socket.
     pub open_attempts: BTreeMap<RequestId, (u32, bool)>,
+    /// Sessions whose set-ups were cancelled and that have not been answered since.
     pub cancelled: BTreeSet<RequestId>,
+    /// Load probes without an answer yet.
     pub probes: BTreeSet<RequestId>,
-    /// It has carried a set-up.
+    /// Whether a set-up was ever queued on it.
     pub carried_set_up: bool,
     pub last_used_at: Micros,
     pub last_received_at: Micros,
-    /// Something came on it that can't be read.
+    /// It received data that could not be parsed.
     pub input_unparseable: bool,
-    /// It ended with what its streamer wrote last perhaps unread: by a reset, or behind what can't be read.
+    /// The streamer's last messages may be unread: because of a reset, or because they followed data that
+    /// could not be parsed.
     pub input_may_be_lost: bool,
 }
 
 impl StreamerConnection {
-    /// Takes a set-up back that is being written, if not a byte of it has left.
+    /// Withdraws a set-up that is being written, if no byte of it has been sent. Tells whether it did.
     pub fn withdraw_unwritten(&mut self, attempt: Attempt) -> bool {
         let withdrawn = self.writing == Some(MessageInProgress::SetUp(attempt)) && self.socket.take_back();
         if withdrawn {
@@ -61,7 +66,7 @@
         withdrawn
     }
 
-    /// Turns a streamer's message into what the core hears.
+    /// Translates a streamer's message into an input of the core.
     pub fn handle_message(&mut self, shared: &mut Shared, message: FromStreamer) {
         let streamer = self.streamer;
         let input = match message {
@@ -90,7 +95,7 @@
                 Input::Probed { streamer, outcome, report }
             }
             FromStreamer::Note(session, Some(kind), value) => Input::Noted { streamer, session, kind, value },
-            // Asked for only where sessions outlive their director.
+            // Only needed where sessions outlive their director.
             FromStreamer::ReleaseAcknowledged(session) if shared.leave.is_some() => Input::DropHeard(session),
             FromStreamer::Note(_, None, _)
             | FromStreamer::ReleaseAcknowledged(_)
@@ -99,7 +104,8 @@
         shared.inputs.push(input);
     }
 
-    /// The open attempt that an answer on this connection is for; none where that was given up.
+    /// Closes the open attempt that an answer on this connection belongs to, and returns its number; `None`
+    /// if the attempt was cancelled.
     pub fn take_open_attempt(&mut self, session: RequestId) -> Option<u32> {
         self.cancelled.remove(&session);
         self.open_attempts.remove(&session).map(|(number, _)| number)
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -1,5 +1,5 @@
-//! The streamers' side: for each streamer of the list a pool of connections, what is queued on them, and
-//! the signs that tell a silent streamer from a lost one. Which streamer gets what is decided elsewhere.
+//! Connections to streamers: a pool per listed streamer, the messages queued on its connections, and the
+//! detection of lost streamers as opposed to silent ones. The core decides which streamer receives what.
 mod exchange;
 mod link;
 mod ways;
@@ -16,41 +16,45 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Between looks at the connections.
+/// Interval between checks of all connections.
 const CHECK_INTERVAL_US: Micros = 250_000;
-/// A give-up that is not written after this is carried out by closing its connection.
+/// A cancellation that is not written within this time is carried out by closing its connection.
 const CANCEL_WRITE_TIMEOUT_US: Micros = 100_000;
-/// A set-up goes on a connection whose streamer was heard of so lately, else on a new one: a streamer that
-/// can't be reached then proves it.
+/// A set-up uses an open connection only if something was received on it within this time, else a new one:
+/// an unreachable streamer shows by the failure of the new connection.
 const RECENT_INPUT_US: Micros = 1_000_000;
-/// A streamer with sessions that has been silent for so long is checked by a new connection.
+/// A streamer that has sessions but has been silent for this long is checked with a new connection.
 const SILENCE_CHECK_US: Micros = 2_000_000;
-/// Its sessions are lost when no connection has come up for so long.
+/// A streamer's sessions count as lost when no connection could be established for this long.
 const UNREACHABLE_LOST_US: Micros = 1_500_000;
-/// The same where connections are refused: its process does not run.
+/// The same where connections are refused, that is, where the streamer's process does not run.
 const REFUSED_LOST_US: Micros = 500_000;
-/// Between attempts to connect to a streamer on behalf of its sessions.
+/// Interval between attempts to connect to a streamer that has sessions.
 const REDIAL_INTERVAL_US: Micros = 250_000;
-/// The same on behalf of releases alone, and how long those are kept.
+/// Additional delay before a connection attempt that only serves to send control messages.
 const CONTROL_REDIAL_DELAY_US: Micros = 2_000_000;
+/// How long control messages are kept for a streamer without a connection.
 const CONTROL_RETENTION_US: Micros = 60_000_000;
-/// Messages that wait on one connection, and words kept for a streamer without one, at most.
+/// Maximum number of messages queued on one connection, and of control messages kept for a streamer without
+/// one.
 const MAX_QUEUED_MESSAGES: usize = 4096;
-/// Given-up set-ups after which a connection takes no new ones.
+/// Number of cancelled set-ups after which a connection accepts no new ones.
 const MAX_CANCELLED_SET_UPS: usize = 256;
 
-/// What is known of a streamer's address and of the way to it.
+/// A streamer's address, its connections and what is known of its reachability.
 #[derive(Default)]
 struct Pool {
     address: Option<SocketAddr>,
     standing: Standing,
     connections: BTreeSet<Token>,
-    /// Releases and rungs that wait for a connection.
+    /// Releases and rung changes that wait for a connection: when queued, encoded message, session acted on.
     unsent_control: VecDeque<(Micros, Vec<u8>, Option<RequestId>)>,
     last_received_at: Micros,
+    /// Start of the first failed connection attempt since the streamer was last heard from.
     failing_since: Option<Micros>,
     dial_refused: bool,
-    /// A connection was cut since the last one was begun: a release may have been lost with it.
+    /// Since the last dial, a connection ended with input that may not have been read: a release may have
+    /// been lost with it.
     input_may_be_lost: bool,
     next_dial_at: Micros,
 }
@@ -59,7 +63,7 @@
 pub struct Streamers {
     pools: BTreeMap<StreamerId, Pool>,
     connections: BTreeMap<Token, StreamerConnection>,
-    /// Connections that became ready to be written to in this turn.
+    /// Connections that became writable in this turn.
     writable: BTreeSet<Token>,
     transport: TransportSettings,
     max_connections: usize,
@@ -67,18 +71,18 @@
 }
 
 impl Streamers {
-    /// None yet; so many connections at most.
+    /// Creates the pools, still empty, with a limit on the total number of connections.
     pub fn new(transport: TransportSettings, max_connections: usize) -> Self {
         let (pools, connections, writable) = Default::default();
         Streamers { pools, connections, writable, transport, max_connections, last_probe_id: 0 }
     }
 
-    /// Begins to look after the connections.
+    /// Starts the periodic checks of the connections.
     pub fn start(&self, shared: &mut Shared) {
         shared.wake(CHECK_INTERVAL_US, Due::Watch);
     }
 
-    /// Takes the list's news.
+    /// Applies an update of the streamer list.
     pub fn apply_list(&mut self, shared: &mut Shared, scope: ListScope, entries: &[(Entry, SocketAddr)]) {
         if scope != ListScope::Delta {
             let listed: BTreeSet<_> = entries.iter().map(|e| e.0.streamer).collect();
@@ -91,7 +95,7 @@
                 self.remove_streamer(shared, entry.streamer);
                 continue;
             }
-            // An address that a new streamer has is no longer another's.
+            // An address that a new streamer uses no longer belongs to any other streamer.
             let has_same_address = |(s, p): (&StreamerId, &Pool)| {
                 (p.address == Some(*address) && *s != entry.streamer).then_some(*s)
             };
@@ -107,7 +111,7 @@
         }
     }
 
-    /// A streamer that is gone: its connections and its sessions are, too.
+    /// Removes a streamer together with its connections, and reports its sessions as lost.
     fn remove_streamer(&mut self, shared: &mut Shared, streamer: StreamerId) {
         self.close_connections(shared, streamer);
         if self.pools.remove(&streamer).is_some() {
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Takes back what waits to be set up at a streamer that drains.
+    /// Withdraws the set-ups that have not been sent yet, because their streamer is draining.
     fn withdraw_set_ups(&mut self, shared: &mut Shared, streamer: StreamerId) {
         let connections = self.pools.get(&streamer).map(|p| p.connections.clone()).unwrap_or_default();
         for token in connections {
@@ -145,7 +149,7 @@
         connections.into_iter().for_each(|token| self.close(shared, token));
     }
 
-    /// Passes a set-up on.
+    /// Sends a set-up to its streamer.
     pub fn send_set_up(&mut self, shared: &mut Shared, set_up: SetUp) {
         let SetUp { streamer, attempt, rung, until, send_by, parcel } = set_up;
         let session = attempt.session;
@@ -161,7 +165,7 @@
         self.write_queue(shared, token);
     }
 
-    /// Gives an attempt up; an input tells when that is done, and whether it had ever left.
+    /// Cancels an attempt. An input reports when that is done, and whether any byte of it had been sent.
     pub fn cancel_attempt(&mut self, shared: &mut Shared, streamer: StreamerId, attempt: Attempt) {
         let session = attempt.session;
         let connections = self.pools.get(&streamer).map(|p| p.connections.clone()).unwrap_or_default();
@@ -170,7 +174,7 @@
             open.is_some_and(|(number, _)| *number == attempt.number)
         };
         let Some(token) = connections.into_iter().find(carries_attempt) else {
-            shared.inputs.push(Input::GaveUp(attempt)); // its connection is closed: that gave it up
+            shared.inputs.push(Input::GaveUp(attempt)); // the close of its connection cancelled it
             return;
         };
         let Some(connection) = self.connections.get_mut(&token) else { return };
@@ -188,7 +192,7 @@
         }
     }
 
-    /// A give-up that a connection still holds back is carried out by closing it.
+    /// Closes a connection on which a cancellation still waits to be written, which cancels the attempt, too.
     fn cancel_deadline(&mut self, shared: &mut Shared, token: Token, attempt: Attempt) {
         let Some(connection) = self.connections.get(&token) else { return };
         let is_queued = |s: &QueuedMessage| matches!(s, QueuedMessage::Cancel(a) if *a == attempt);
@@ -197,13 +201,14 @@
         {
             shared.counters.overfull += 1;
             let streamer = connection.streamer.0;
-            info!(shared.log, "a give-up can't be written, connection closed"; "streamer" => streamer);
+            info!(shared.log, "cancellation not written in time; closing the connection";
+                "streamer" => streamer);
             self.close(shared, token);
         }
     }
 
-    /// Releases a session that stands, or sets its rung. `acting_on`: the session, where this director does
-    /// so by its own will.
+    /// Sends a control message, which releases an established session or sets its rung. `acting_on` names the
+    /// session if this director acts on its own decision: the message is then sent only while it may do so.
     pub fn send_control(
         &mut self,
         shared: &mut Shared,
@@ -228,7 +233,7 @@
         }
     }
 
-    /// Asks a streamer for its load.
+    /// Sends a load probe to a streamer.
     pub fn probe(&mut self, shared: &mut Shared, streamer: StreamerId) {
         let token = match self.connection_for(shared, streamer, None) {
             Ok(token) => token,
@@ -251,7 +256,7 @@
         self.write_queue(shared, token);
     }
 
-    /// A load test without an answer.
+    /// Reports a load probe that was not answered in time.
     fn probe_deadline(&mut self, shared: &mut Shared, token: Token, id: RequestId) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.probes.remove(&id) {
@@ -260,11 +265,11 @@
         }
     }
 
-    /// Sees to it that what concerns the sessions at a streamer can come in.
+    /// Ensures that messages about the sessions at a streamer can arrive: dials if it has no connection.
     pub fn ensure_connected(&mut self, shared: &mut Shared, streamer: StreamerId) {
         let Some(pool) = self.pools.get(&streamer) else { return };
         if pool.connections.is_empty() && pool.next_dial_at <= shared.now {
-            let _ = self.dial(shared, streamer); // the watch tries again
+            let _ = self.dial(shared, streamer); // the periodic check retries
         }
     }
 }
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -1,4 +1,4 @@
-//! The ways to streamers: which connection is used, when a new one is begun, and which streamer is lost.
+//! Choice of connections to streamers, dialling and redialling, and detection of lost streamers.
 use super::super::line::Line;
 use super::super::poll::Token;
 use super::super::shared::{Due, Shared};
@@ -15,7 +15,7 @@
 use std::io;
 
 impl Streamers {
-    /// The connection for a set-up or a test: one that is up and certain, else a new one.
+    /// The connection for a set-up or a load probe: a suitable existing one, else a new one.
     pub(super) fn connection_for(
         &mut self,
         shared: &mut Shared,
@@ -23,7 +23,8 @@
         session: Option<RequestId>,
     ) -> Result<Token, UnsentReason> {
         let pool = self.pools.get(&streamer).ok_or(UnsentReason::Withdrawn)?;
-        // Where new connections have a price, one is used as long as nothing speaks against its streamer.
+        // If new connections have a price, open ones are used as long as connection attempts to the streamer
+        // have not failed.
         let trusted = self.transport.handshake_price > 0.0 && pool.failing_since.is_none();
         let is_suitable = |c: &&StreamerConnection| {
             let recently_used =
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The connection for a word: any that is up, best the one heard of last.
+    /// The connection for a control message: of the established ones, the one that was received on last.
     pub(super) fn control_connection(&self, pool: &Pool) -> Option<Token> {
         let connected =
             pool.connections.iter().filter_map(|t| self.connections.get(t)).filter(|c| c.connected);
@@ -56,7 +57,8 @@
             .map(|c| c.socket.token())
     }
 
-    /// Begins a new connection. What only this machine lacks for it says nothing of the streamer.
+    /// Starts a new connection. A lack of local resources says nothing about the streamer, and is reported as
+    /// `Withdrawn`.
     pub(super) fn dial(&mut self, shared: &mut Shared, streamer: StreamerId) -> Result<Token, UnsentReason> {
         if self.connections.len() >= self.max_connections {
             let unused = |c: &&StreamerConnection| {
@@ -78,7 +80,8 @@
             }
             Err(why) => {
                 shared.counters.descriptors_out += 1;
-                warn!(shared.log, "no connection can be begun: {why}"; "streamer" => streamer.0);
+                warn!(shared.log, "cannot start a connection to the streamer: {why}";
+                    "streamer" => streamer.0);
                 return Err(UnsentReason::Withdrawn);
             }
         };
@@ -105,7 +108,8 @@
         Ok(token)
     }
 
-    /// Closes a connection for another one. A release that crosses the close is said again on a new one.
+    /// Closes a connection to make room for another. A release that crosses the close is repeated on a new
+    /// connection.
     fn close_to_make_room(&mut self, shared: &mut Shared, token: Token) {
         self.read(shared, token);
         self.connections
@@ -115,6 +119,7 @@
         self.close(shared, token);
     }
 
+    /// Records a failed connection attempt that began at `since`.
     pub(super) fn dial_failed(
         &mut self,
         shared: &mut Shared,
@@ -124,24 +129,25 @@
     ) {
         shared.counters.dials_failed += 1;
         shared.inputs.push(Input::Contact { streamer, up: false });
-        debug!(shared.log, "no connection: {why}"; "streamer" => streamer.0);
+        debug!(shared.log, "connection to streamer failed: {why}"; "streamer" => streamer.0);
         let Some(pool) = self.pools.get_mut(&streamer) else { return };
         pool.next_dial_at = shared.now.saturating_add(REDIAL_INTERVAL_US);
         let refused = why.kind() == io::ErrorKind::ConnectionRefused;
         if refused && pool.connections.iter().any(|t| self.connections.get(t).is_some_and(|c| c.connected)) {
-            pool.last_received_at = shared.now; // it runs, only takes no more connections
+            pool.last_received_at = shared.now; // it is running, but accepts no more connections
         }
         pool.dial_refused = refused;
         pool.failing_since.get_or_insert(since);
     }
 
-    /// A connection that has not come up in time never does.
+    /// Abandons a connection that was not established within the dial timeout.
     pub(super) fn dial_deadline(&mut self, shared: &mut Shared, token: Token) {
         if self.connections.get(&token).is_some_and(|c| !c.connected) {
             self.connect_failed(shared, token, &io::ErrorKind::TimedOut.into());
         }
     }
 
+    /// Closes a connection that could not be established.
     pub(super) fn connect_failed(&mut self, shared: &mut Shared, token: Token, why: &io::Error) {
         let Some(streamer) = self.connections.get(&token).map(|c| c.streamer) else { return };
         let since = self.connections.get(&token).map_or(0, |c| c.last_used_at);
@@ -149,8 +155,8 @@
         self.dial_failed(shared, streamer, since, why);
     }
 
-    /// Looks after all connections: keeps one to each streamer with sessions, checks on silent ones, closes
-    /// idle ones before their streamer does.
+    /// Checks all connections: keeps one to each streamer with sessions, dials silent streamers, and closes
+    /// idle connections before their streamer does.
     pub(super) fn check_connections(
         &mut self,
         shared: &mut Shared,
@@ -185,7 +191,7 @@
             let failing = pool.failing_since.filter(|since| has_sessions && pool.last_received_at <= *since);
             let loss_delay_us = if pool.dial_refused { REFUSED_LOST_US } else { UNREACHABLE_LOST_US };
             if failing.is_some_and(|since| since.saturating_add(loss_delay_us) <= now) {
-                warn!(shared.log, "lost, its sessions are released"; "streamer" => streamer.0);
+                warn!(shared.log, "streamer is lost; releasing its sessions"; "streamer" => streamer.0);
                 pool.failing_since = None;
                 self.close_connections(shared, streamer);
                 shared.inputs.push(Input::Lost(streamer));
@@ -194,10 +200,10 @@
             let control_due = !pool.unsent_control.is_empty()
                 && pool.next_dial_at.saturating_add(CONTROL_REDIAL_DELAY_US) <= now;
             let needs_connection = pool.connections.is_empty() && (has_sessions || control_due);
-            // A streamer says releases again on the next connection, and there alone.
+            // A streamer repeats releases on the next connection, and only there.
             let input_lost = has_sessions && pool.input_may_be_lost;
             if !dialing && (needs_connection || silent || input_lost) && pool.next_dial_at <= now {
-                let _ = self.dial(shared, streamer); // the next watch tries again
+                let _ = self.dial(shared, streamer); // the next check retries
             }
         }
     }
--- a/src/platform/rtsp.rs
+++ b/src/platform/rtsp.rs
@@ -1,63 +1,70 @@
-//! The streamers' messages, in the form of RTSP. `httparse` reads the header lines; it accepts no first line
-//! of RTSP (`httparse::Request::parse` answers `Error::Version` to `SETUP rtsp://media/x RTSP/1.0`, see the
-//! test below), so that the first line is taken apart here.
+//! Codec of the RTSP messages exchanged with streamers. `httparse` parses the header lines but rejects RTSP
+//! start lines (`httparse::Request::parse` returns `Error::Version` for `SETUP rtsp://media/x RTSP/1.0`; a
+//! test in `tests/codecs.rs` checks this), so start lines are parsed here.
 use super::MESSAGE_MAX;
 use crate::director::Parcel;
 use crate::interface::{LoadReport, NoteKind, Outcome, RequestId};
 use crate::settings::load_report;
 use std::fmt::Write;
 
+/// CSeq of a set-up. Each kind of request has a fixed CSeq, by which its responses are recognised.
 const CSEQ_SET_UP: u32 = 1;
+/// CSeq of a release or a cancellation.
 const CSEQ_RELEASE: u32 = 2;
+/// CSeq of a load probe.
 const CSEQ_PROBE: u32 = 3;
+/// CSeq of a rung change.
 const CSEQ_SET_RUNG: u32 = 4;
 const MAX_HEADERS: usize = 32;
 /// Initial buffer capacity for the start line and the header fields that every request has.
 const REQUEST_HEAD_CAPACITY: usize = 160;
 
+/// Status of a set-up rejected because the streamer was full.
 const STATUS_QUEUE_FULL: u16 = 453;
+/// Status of a set-up that the streamer ignored.
 const STATUS_IGNORED: u16 = 454;
+/// Status of a set-up that was reset at the streamer.
 const STATUS_RESET: u16 = 504;
 
 /// Cause of a session that ran to completion.
 pub const CAUSE_COMPLETED: u8 = 16;
-/// Cause of a session that ended on request. The director releases sessions with it, too.
+/// Cause of a session that was ended by its viewer or moved. The director also releases sessions with it.
 pub const CAUSE_RELEASED: u8 = 31;
 
-/// What a streamer can get wrong so that its connection can't go on.
+/// Why a streamer's data cannot be parsed. Its connection cannot be used any longer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RtspError {
-    /// The first line is of no known form.
-    #[error("a first line that is not RTSP")]
+    /// The start line is neither an RTSP request nor an RTSP response.
+    #[error("start line is not RTSP/1.0")]
     StartLine,
-    /// The header lines can't be read.
-    #[error("bad header lines: {0}")]
+    /// The header lines cannot be parsed.
+    #[error("invalid header lines: {0}")]
     Headers(#[from] httparse::Error),
-    /// A field that must be there is missing or can't be read.
-    #[error("{0} is missing or can't be read")]
+    /// A required header field is missing or invalid.
+    #[error("header field {0} is missing or invalid")]
     Field(&'static str),
-    /// Over the limit.
-    #[error("a message over {MESSAGE_MAX} bytes")]
+    /// The message is longer than [`MESSAGE_MAX`].
+    #[error("message exceeds {MESSAGE_MAX} bytes")]
     TooLong,
 }
 
 /// A message from a streamer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromStreamer {
-    /// The session stands.
+    /// The session is established; with the streamer's description.
     Established(RequestId, Vec<u8>),
-    /// The set-up was turned away.
+    /// The set-up was rejected.
     Rejected(RequestId, Outcome, LoadReport),
-    /// A session is released, with a cause; without one where none was given. One that ended as it began
-    /// brings its description along.
+    /// A session was released, with the cause if one was given. If the session ended as soon as it was
+    /// established, the message also contains its description.
     Released(RequestId, Option<u8>, Vec<u8>, LoadReport),
-    /// A test's result.
+    /// The answer to a load probe, and whether it succeeded.
     ProbeAnswered(RequestId, bool, LoadReport),
-    /// A note on a session; `None` for one of a kind that is not known.
+    /// A status note on a session; `None` if its kind is unknown.
     Note(RequestId, Option<NoteKind>, f64),
-    /// A release was heard: the session is over there, if it ever was.
+    /// A release was acknowledged: the session has ended at the streamer, if it ever existed there.
     ReleaseAcknowledged(RequestId),
-    /// Means nothing to a director.
+    /// A message that a director does not use.
     Irrelevant,
 }
 
@@ -66,9 +73,10 @@
     Response(u16),
 }
 
-/// Reads one message; `None` where it is not whole yet. Also tells how many bytes it took.
+/// Parses one message from the start of `bytes` and returns it with the number of bytes consumed, or `None`
+/// if it is not complete yet.
 pub fn read(bytes: &[u8]) -> Result<Option<(FromStreamer, usize)>, RtspError> {
-    // Empty lines before a message mean nothing.
+    // Empty lines before a message are ignored.
     let blank = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
     let bytes = bytes.get(blank..).unwrap_or_default();
     let bounded = &bytes[..bytes.len().min(MESSAGE_MAX)];
@@ -134,7 +142,7 @@
                 (CSEQ_PROBE, 200..=599) => {
                     Ok(FromStreamer::ProbeAnswered(session()?, (200..300).contains(code), report()))
                 }
-                // Free in form: one without a session says nothing.
+                // The form of this response is not prescribed; without a session it is not usable.
                 (CSEQ_RELEASE, 200..=299) => {
                     Ok(session().map_or(FromStreamer::Irrelevant, FromStreamer::ReleaseAcknowledged))
                 }
@@ -162,7 +170,7 @@
     }
 }
 
-/// A report's fields; both the words of the platform and those of the settings are taken.
+/// Parses a load report. Both the platform's and the settings' names of the values are accepted.
 fn parse_load_report(text: &str) -> LoadReport {
     let value = |name: &str| {
         let mut pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
@@ -187,7 +195,7 @@
     body: &[u8],
 ) -> Vec<u8> {
     let mut head = String::with_capacity(REQUEST_HEAD_CAPACITY + header_fields.len());
-    // Writing into a string does not fail.
+    // Writing to a string cannot fail.
     let _ = write!(
         head,
         "{method} rtsp://media/{path} RTSP/1.0\r\nCSeq: {cseq}\r\nSession: {:016x}\r\n\
@@ -200,7 +208,7 @@
     bytes
 }
 
-/// A set-up; `None` where it would be longer than a message may be.
+/// Encodes a set-up; `None` if it would exceed [`MESSAGE_MAX`].
 pub fn set_up(session: RequestId, parcel: &Parcel, rung: usize, wait_ms: u64) -> Option<Vec<u8>> {
     let fields =
         format!("Priority-Class: {}\r\nExpires-Ms: {wait_ms}\r\nX-Quality: {rung}\r\n", parcel.class);
@@ -208,23 +216,23 @@
     Some(bytes).filter(|b| b.len() <= MESSAGE_MAX)
 }
 
-/// The set-up is given up.
+/// Encodes the cancellation of a set-up.
 pub fn cancel(session: RequestId) -> Vec<u8> {
     encode_request("TEARDOWN", "session", CSEQ_RELEASE, session, "", b"")
 }
 
-/// A session that stands is released by the director.
+/// Encodes the director's release of an established session.
 pub fn release(session: RequestId) -> Vec<u8> {
     let fields = format!("Reason: cause={CAUSE_RELEASED}\r\n");
     encode_request("TEARDOWN", "session", CSEQ_RELEASE, session, &fields, b"")
 }
 
-/// A new rung for a session that plays.
+/// Encodes a rung change of a session that is playing.
 pub fn set_rung(session: RequestId, rung: usize) -> Vec<u8> {
     encode_request("SET_PARAMETER", "session", CSEQ_SET_RUNG, session, &format!("X-Quality: {rung}\r\n"), b"")
 }
 
-/// A test that asks for the streamer's load.
+/// Encodes a load probe.
 pub fn load_probe(id: RequestId) -> Vec<u8> {
     encode_request("OPTIONS", "load", CSEQ_PROBE, id, "", b"")
 }
