--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -12,7 +12,7 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(300).max_tests(300)
 }
 
-fn binary(kind: u8, parameters: &[(u8, &[u8])]) -> Vec<u8> {
+fn viewer_message(kind: u8, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(ID.0.to_be_bytes());
     for (code, value) in parameters {
@@ -26,26 +26,32 @@
 fn set_up_bytes() -> Vec<u8> {
     let figures = b"home:4;copies:3;top:2;viewer:00000000b4d65521;again:1;at:s-00c41f7a";
     let title = b"7f3a9c21e0b4d655";
-    binary(1, &[(16, b"paid"), (19, b"1500"), (25, b"1"), (28, title), (31, figures), (61, b"\x00raw\xff")])
+    viewer_message(
+        1,
+        &[(16, b"paid"), (19, b"1500"), (25, b"1"), (28, title), (31, figures), (61, b"\x00raw\xff")],
+    )
 }
 
 #[test]
-fn a_set_up_is_read_with_all_its_fields() {
+fn a_set_up_is_parsed_with_all_its_fields() {
     let (message, used) = viewer::read(&set_up_bytes()).expect("sound").expect("whole");
-    let viewer::FromViewer::SetUp(s) = message else { panic!("{message:?}") };
+    let viewer::FromViewer::SetUp(set_up) = message else { panic!("{message:?}") };
     assert_eq!(used, set_up_bytes().len());
-    assert_eq!((s.session, s.class.as_str(), s.wait_ms, s.retry), (ID.0, "paid", Some(1500), true));
-    assert_eq!((s.home, s.copies, s.top, s.again), (4, 3, Some(2), true));
-    assert_eq!((s.viewer.as_str(), s.at.as_deref()), ("00000000b4d65521", Some("s-00c41f7a")));
-    assert_eq!(s.description, b"\x00raw\xff");
+    assert_eq!(
+        (set_up.session, set_up.class.as_str(), set_up.wait_ms, set_up.retry),
+        (ID.0, "paid", Some(1500), true)
+    );
+    assert_eq!((set_up.home, set_up.copies, set_up.top, set_up.again), (4, 3, Some(2), true));
+    assert_eq!((set_up.viewer.as_str(), set_up.at.as_deref()), ("00000000b4d65521", Some("s-00c41f7a")));
+    assert_eq!(set_up.description, b"\x00raw\xff");
 }
 
 #[test]
-fn final_answers_carry_what_the_protocol_names() {
-    assert_eq!(viewer::refusal(ID, 250), binary(12, &[(58, &[42]), (34, b"250")]));
-    assert_eq!(viewer::release(ID, viewer::CAUSE_ENDED), binary(12, &[(58, &[16])]));
-    assert_eq!(viewer::answer(ID, b"sdp"), Some(binary(9, &[(61, b"sdp")])));
-    assert_eq!(viewer::test_result(ID, true), binary(53, &[(58, &[1])]));
+fn messages_to_viewers_are_encoded_as_the_protocol_says() {
+    assert_eq!(viewer::refusal(ID, 250), viewer_message(12, &[(58, &[42]), (34, b"250")]));
+    assert_eq!(viewer::release(ID, viewer::CAUSE_ENDED), viewer_message(12, &[(58, &[16])]));
+    assert_eq!(viewer::answer(ID, b"sdp"), Some(viewer_message(9, &[(61, b"sdp")])));
+    assert_eq!(viewer::test_result(ID, true), viewer_message(53, &[(58, &[1])]));
     assert_eq!(viewer::answer(ID, &[0; MESSAGE_MAX]), None, "over the limit of a message");
 }
 
@@ -59,82 +65,92 @@
         Ok(Some((viewer::FromViewer::Unusable(id, why), used))) if used == bytes.len() => (id, why),
         other => panic!("{other:?}"),
     };
-    let set_up = |figures: &[u8]| binary(1, &[(16, b"paid"), (28, b"7f3a"), (31, figures)]);
-    for lacking in
+    let set_up = |figures: &[u8]| viewer_message(1, &[(16, b"paid"), (28, b"7f3a"), (31, figures)]);
+    for incomplete in
         [&b"home:4;copies:3;viewer:b4"[..], b"home:4;top:2;viewer:b4", b"", b"home:-1", b"copies:nan"]
     {
-        assert_eq!(unusable(&set_up(lacking)), (ID, SetUp(31)));
+        assert_eq!(unusable(&set_up(incomplete)), (ID, SetUp(31)));
     }
-    assert_eq!(unusable(&binary(123, &[(16, b"paid")])), (ID, Kind(123)));
+    assert_eq!(unusable(&viewer_message(123, &[(16, b"paid")])), (ID, Kind(123)));
     let mut unnumbered = set_up(b"home:4;copies:3;top:2;viewer:b4");
     unnumbered[3..11].fill(0);
     assert_eq!(unusable(&unnumbered), (RequestId(0), Unnumbered));
     assert_eq!(viewer::read(&[0, 8, 1]), Err(viewer::ViewerError::Length(8)));
     assert_eq!(viewer::read(&[0xff, 0xff]), Err(viewer::ViewerError::Length(0xffff)));
-    let mut cut_short = [binary(1, &[(16, b"paid")]), vec![28, 0, 9]].concat();
-    cut_short[1] += 3;
-    assert_eq!(unusable(&cut_short), (ID, Parameter));
-    let line_break =
-        binary(1, &[(16, b"paid"), (28, b"x RTSP/1.0\r\nCSeq: 9"), (31, b"home:4;copies:3;top:2;viewer:b4")]);
-    assert_eq!(unusable(&line_break), (ID, SetUp(28)), "would split the request");
+    let mut truncated = [viewer_message(1, &[(16, b"paid")]), vec![28, 0, 9]].concat();
+    truncated[1] += 3;
+    assert_eq!(unusable(&truncated), (ID, Parameter));
+    let title_with_line_break = viewer_message(
+        1,
+        &[(16, b"paid"), (28, b"x RTSP/1.0\r\nCSeq: 9"), (31, b"home:4;copies:3;top:2;viewer:b4")],
+    );
+    assert_eq!(unusable(&title_with_line_break), (ID, SetUp(28)), "would split the request");
 }
 
 /// Guards the choice in `platform/rtsp.rs`: should httparse ever take RTSP's first lines, it can read all.
 #[test]
-fn httparse_takes_no_first_line_of_rtsp() {
+fn httparse_rejects_rtsp_start_lines() {
     let mut slots = [httparse::EMPTY_HEADER; 4];
     let request = b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\n\r\n";
     assert_eq!(httparse::Request::new(&mut slots).parse(request), Err(httparse::Error::Version));
-    let answer = b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n";
-    assert_eq!(httparse::Response::new(&mut slots).parse(answer), Err(httparse::Error::Version));
+    let response = b"RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n";
+    assert_eq!(httparse::Response::new(&mut slots).parse(response), Err(httparse::Error::Version));
 }
 
 #[test]
-fn a_set_up_is_passed_on_unchanged() {
+fn a_set_up_is_forwarded_unchanged() {
     let parcel = Parcel { class: "paid".into(), title: "7f3a".into(), description: b"a\r\n\0b".to_vec() };
     let bytes = rtsp::set_up(ID, &parcel, 2, 1500).expect("short enough");
     let expected = "SETUP rtsp://media/7f3a RTSP/1.0\r\nCSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\n\
-                    Priority-Class: paid\r\nExpires-Ms: 1500\r\nX-Quality: 2\r\nContent-Length: 5\r\n\r\na\r\n\0b";
+                    Priority-Class: paid\r\nExpires-Ms: 1500\r\nX-Quality: 2\r\nContent-Length: 5\r\n\r\n\
+                    a\r\n\0b";
     assert_eq!(String::from_utf8_lossy(&bytes), expected);
 }
 
-fn answer(first: &str, cseq: u32, more: &str, body: &str) -> Vec<u8> {
+fn rtsp_message(start_line: &str, cseq: u32, more_headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let session = "Session: 9b1f03aa5c7e2d41";
-    format!("{first}\r\nCSeq: {cseq}\r\n{session}\r\n{more}Content-Length: {length}\r\n\r\n{body}")
-        .into_bytes()
+    format!(
+        "{start_line}\r\nCSeq: {cseq}\r\n{session}\r\n{more_headers}Content-Length: {length}\r\n\r\n{body}"
+    )
+    .into_bytes()
 }
 
 #[test]
-fn streamers_words_mean_what_the_protocol_says() {
+fn messages_from_streamers_are_parsed_as_the_protocol_says() {
     use rtsp::FromStreamer::*;
-    let none = LoadReport::default();
-    let load = LoadReport { link_capped: Some(0.9), uplink: Some(1.1), ..none };
+    let no_report = LoadReport::default();
+    let load = LoadReport { link_capped: Some(0.9), uplink: Some(1.1), ..no_report };
     let cases = [
-        (answer("RTSP/1.0 200 OK", 1, "", "sdp"), Established(ID, b"sdp".to_vec())),
-        (answer("RTSP/1.0 100 Trying", 1, "", ""), Irrelevant),
+        (rtsp_message("RTSP/1.0 200 OK", 1, "", "sdp"), Established(ID, b"sdp".to_vec())),
+        (rtsp_message("RTSP/1.0 100 Trying", 1, "", ""), Irrelevant),
         (
-            answer("RTSP/1.0 453 Full", 1, "P-Load: util:0.9;x1:1.1\r\n", ""),
+            rtsp_message("RTSP/1.0 453 Full", 1, "P-Load: util:0.9;x1:1.1\r\n", ""),
             Rejected(ID, Outcome::QueueFull, load),
         ),
-        (answer("RTSP/1.0 454 Moot", 1, "", ""), Rejected(ID, Outcome::Ignored, none)),
-        (answer("RTSP/1.0 500 Error", 1, "", ""), Rejected(ID, Outcome::Failed, none)),
-        (answer("RTSP/1.0 504 Reset", 1, "", ""), Rejected(ID, Outcome::Reset, none)),
-        (answer("RTSP/1.0 200 OK", 2, "", ""), ReleaseAcknowledged(ID)),
+        (rtsp_message("RTSP/1.0 454 Moot", 1, "", ""), Rejected(ID, Outcome::Ignored, no_report)),
+        (rtsp_message("RTSP/1.0 500 Error", 1, "", ""), Rejected(ID, Outcome::Failed, no_report)),
+        (rtsp_message("RTSP/1.0 504 Reset", 1, "", ""), Rejected(ID, Outcome::Reset, no_report)),
+        (rtsp_message("RTSP/1.0 200 OK", 2, "", ""), ReleaseAcknowledged(ID)),
         // A release that was heard is free in form, and says nothing without its session.
         (b"RTSP/1.0 200 OK\r\nCSeq: 2\r\nContent-Length: 0\r\n\r\n".to_vec(), Irrelevant),
         (
-            answer("RTSP/1.0 200 OK", 3, "P-Load: load_share:0.9;x1:1.1\r\n", ""),
+            rtsp_message("RTSP/1.0 200 OK", 3, "P-Load: load_share:0.9;x1:1.1\r\n", ""),
             ProbeAnswered(ID, true, load),
         ),
-        (answer("RTSP/1.0 503 No", 3, "", ""), ProbeAnswered(ID, false, none)),
+        (rtsp_message("RTSP/1.0 503 No", 3, "", ""), ProbeAnswered(ID, false, no_report)),
         (
-            answer("TEARDOWN rtsp://media/x RTSP/1.0", 2, "Reason: cause=41\r\n", ""),
-            Released(ID, Some(41), vec![], none),
+            rtsp_message("TEARDOWN rtsp://media/x RTSP/1.0", 2, "Reason: cause=41\r\n", ""),
+            Released(ID, Some(41), vec![], no_report),
         ),
-        (answer("TEARDOWN rtsp://media/x RTSP/1.0", 2, "", ""), Released(ID, None, vec![], none)),
+        (rtsp_message("TEARDOWN rtsp://media/x RTSP/1.0", 2, "", ""), Released(ID, None, vec![], no_report)),
         (
-            answer("ANNOUNCE rtsp://media/x RTSP/1.0", 4, "Warning-Word: served\r\nX-Reading: 0.75\r\n", ""),
+            rtsp_message(
+                "ANNOUNCE rtsp://media/x RTSP/1.0",
+                4,
+                "Warning-Word: served\r\nX-Reading: 0.75\r\n",
+                "",
+            ),
             Note(ID, Some(NoteKind::Delivered), 0.75),
         ),
     ];
@@ -150,12 +166,12 @@
     assert_eq!(rtsp::read(&[b'x'; MESSAGE_MAX]), Err(rtsp::RtspError::TooLong));
     let head = format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: {MESSAGE_MAX}\r\n\r\n");
     assert_eq!(rtsp::read(head.as_bytes()), Err(rtsp::RtspError::TooLong));
-    let endless = format!("RTSP/1.0 200 OK\r\nContent-Length: {}\r\n\r\n", usize::MAX);
-    assert_eq!(rtsp::read(endless.as_bytes()), Err(rtsp::RtspError::TooLong));
+    let overflowing = format!("RTSP/1.0 200 OK\r\nContent-Length: {}\r\n\r\n", usize::MAX);
+    assert_eq!(rtsp::read(overflowing.as_bytes()), Err(rtsp::RtspError::TooLong));
 }
 
 /// A connection's states while its bytes come in pieces: nothing yet, part of a message, whole messages.
-fn in_pieces<M, E: std::fmt::Debug>(
+fn parse_in_fragments<M, E: std::fmt::Debug>(
     stream: &[u8],
     cuts: &[u8],
     read: impl Fn(&[u8]) -> Result<Option<(M, usize)>, E>,
@@ -176,50 +192,54 @@
 
 /// Half-written messages: wherever the bytes are cut, the same messages come out, and none before its end.
 #[test]
-fn messages_come_whole_from_any_pieces() {
+fn messages_are_reassembled_from_any_fragments() {
     let binary_stream =
-        [set_up_bytes(), viewer::release(ID, 16), set_up_bytes(), binary(52, &[(58, &[0])])].concat();
+        [set_up_bytes(), viewer::release(ID, 16), set_up_bytes(), viewer_message(52, &[(58, &[0])])].concat();
     let rtsp_stream = [
-        answer("RTSP/1.0 200 OK", 1, "", "sdp with\r\n\r\na blank line"),
+        rtsp_message("RTSP/1.0 200 OK", 1, "", "sdp with\r\n\r\na blank line"),
         b"\r\n".to_vec(),
-        answer("TEARDOWN rtsp://media/x RTSP/1.0", 2, "Reason: cause=16\r\n", ""),
-        answer("RTSP/1.0 453 Full", 1, "P-Load: x1:1\r\n", ""),
+        rtsp_message("TEARDOWN rtsp://media/x RTSP/1.0", 2, "Reason: cause=16\r\n", ""),
+        rtsp_message("RTSP/1.0 453 Full", 1, "P-Load: x1:1\r\n", ""),
     ]
     .concat();
-    let whole =
-        (in_pieces(&binary_stream, &[255], viewer::read), in_pieces(&rtsp_stream, &[255], rtsp::read));
+    let whole = (
+        parse_in_fragments(&binary_stream, &[255], viewer::read),
+        parse_in_fragments(&rtsp_stream, &[255], rtsp::read),
+    );
     assert_eq!((whole.0.len(), whole.1.len()), (4, 3));
-    let same = |cuts: Vec<u8>| {
-        let read =
-            (in_pieces(&binary_stream, &cuts, viewer::read), in_pieces(&rtsp_stream, &cuts, rtsp::read));
+    let parses_alike = |cuts: Vec<u8>| {
+        let read = (
+            parse_in_fragments(&binary_stream, &cuts, viewer::read),
+            parse_in_fragments(&rtsp_stream, &cuts, rtsp::read),
+        );
         read == whole
     };
     for seed in 0..200u64 {
-        let mut dice = Gen::from_size_and_seed(12, seed);
-        let cuts: Vec<u8> = quickcheck::Arbitrary::arbitrary(&mut dice);
-        assert!(same(cuts.iter().map(|c| c % 40).collect()), "{cuts:?}");
+        let mut generator = Gen::from_size_and_seed(12, seed);
+        let cuts: Vec<u8> = quickcheck::Arbitrary::arbitrary(&mut generator);
+        assert!(parses_alike(cuts.iter().map(|c| c % 40).collect()), "{cuts:?}");
     }
 }
 
 /// Bytes from outside end their connection at worst; they never panic the process.
 #[test]
-fn any_bytes_are_taken_or_refused() {
-    fn any(noise: Vec<u8>, at: usize, value: u8) -> TestResult {
-        let mut torn = [set_up_bytes(), answer("RTSP/1.0 200 OK", 1, "P-Load: x1:1\r\n", "sdp")];
-        for bytes in &mut torn {
-            let at = at % bytes.len();
-            bytes[at] = value;
-            let _ = (viewer::read(bytes), rtsp::read(bytes), bulletin::read(bytes).is_ok());
+fn arbitrary_bytes_never_panic_a_parser() {
+    fn parses(bytes: Vec<u8>, index: usize, value: u8) -> TestResult {
+        let mut corrupted = [set_up_bytes(), rtsp_message("RTSP/1.0 200 OK", 1, "P-Load: x1:1\r\n", "sdp")];
+        for message in &mut corrupted {
+            let index = index % message.len();
+            message[index] = value;
+            let _ = (viewer::read(message), rtsp::read(message), bulletin::read(message).is_ok());
         }
-        let used = |used: Option<usize>| used.is_none_or(|n| n > 0 && n <= noise.len());
-        let binary = viewer::read(&noise).ok().flatten().map(|m| m.1);
-        TestResult::from_bool(used(binary) && used(rtsp::read(&noise).ok().flatten().map(|m| m.1)))
+        let plausible = |used: Option<usize>| used.is_none_or(|n| n > 0 && n <= bytes.len());
+        let binary = viewer::read(&bytes).ok().flatten().map(|m| m.1);
+        TestResult::from_bool(plausible(binary) && plausible(rtsp::read(&bytes).ok().flatten().map(|m| m.1)))
     }
-    seeded().quickcheck(any as fn(Vec<u8>, usize, u8) -> TestResult);
+    seeded().quickcheck(parses as fn(Vec<u8>, usize, u8) -> TestResult);
 }
 
 #[test]
-fn the_bulletins_lines_are_read() {
+fn bulletin_lines_are_parsed() {
     assert!(matches!(bulletin::read(b"41"), Ok(bulletin::Line::Last(41))));
     let line = br#"{"no":41,"roster":{"revision":7,"complete":false,"members":[{"id":"s-00c41f7a",
         "host_port":"10.1.0.9:2905","locality":"east","flavor":"std","cell":2,"phase":"terminating","size":4,
@@ -243,9 +263,10 @@
 
 /// One entry that can't be used used to cost the whole event, with the drains of all others in it.
 #[test]
-fn an_entry_of_no_use_takes_no_other_along() {
-    let member =
-        |id: &str, at: &str, phase: &str| format!(r#"{{"id":"{id}","host_port":"{at}","phase":"{phase}"}}"#);
+fn an_unusable_entry_does_not_affect_other_entries() {
+    let member = |id: &str, address: &str, phase: &str| {
+        format!(r#"{{"id":"{id}","host_port":"{address}","phase":"{phase}"}}"#)
+    };
     let members = [
         member("s-1", "nowhere", "in_service"),
         member("s-2", "10.1.0.9:2905", "asleep"),
@@ -257,7 +278,7 @@
     let standing: Vec<_> = members.entries.iter().map(|(entry, _)| entry.standing).collect();
     assert_eq!(standing, vec![Standing::Draining; 2], "an unknown state takes no set-ups");
     assert_eq!(members.errors.len(), 2);
-    for why in members.errors {
-        assert!(why.to_string().contains("correct it in the list"), "says what to do: {why}");
+    for error in members.errors {
+        assert!(error.to_string().contains("correct it in the list"), "says what to do: {error}");
     }
 }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -10,55 +10,55 @@
 const REPEAT_WINDOW: Duration = Duration::from_millis(300);
 
 /// Settings whose class `seat-view` is deduplicated for a short time, with connections that may come up late.
-fn short_window() -> String {
+fn settings_with_short_repeat_window() -> String {
     let window = REPEAT_WINDOW.as_micros();
     let seat_view = r#""target_us": 300000, "deadline_us": 600000, "effect": "idempotent""#;
-    let short = format!(
-        r#""target_us": 30000000, "deadline_us": 9000000, "effect": "deduplicated", "repeat_window_us": {window}"#
-    );
+    let times = r#""target_us": 30000000, "deadline_us": 9000000"#;
+    let deduplicated = format!(r#"{times}, "effect": "deduplicated", "repeat_window_us": {window}"#);
     common::SETTINGS_JSON
         .replace(r#""dial_timeout_us": 250000"#, r#""dial_timeout_us": 20000000"#)
-        .replace(seat_view, &short)
+        .replace(seat_view, &deduplicated)
 }
 
-fn refused_with(status: u16, session: u64) -> Vec<u8> {
-    let first = format!("RTSP/1.0 {status} No\r\nCSeq: 1\r\n");
-    format!("{first}Session: {session:016x}\r\nContent-Length: 0\r\n\r\n").into()
+fn rejection(status: u16, session: u64) -> Vec<u8> {
+    let head = format!("RTSP/1.0 {status} No\r\nCSeq: 1\r\n");
+    format!("{head}Session: {session:016x}\r\nContent-Length: 0\r\n\r\n").into()
 }
 
 /// The repeat was decided on within the window and written whenever its connection came up.
 #[test]
-fn a_repeat_whose_connection_comes_up_past_the_window_is_not_sent() {
-    let rig = Rig::with_door_and(&short_window());
+fn a_retry_whose_connection_comes_up_after_the_repeat_window_is_not_sent() {
+    let rig = Rig::with_door_and(&settings_with_short_repeat_window());
     let mut discovery = accept(&rig.bulletin);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x51, "seat-view")).expect("written");
     let mut first = rig.streamer();
     read_rtsp(&mut first);
-    let sent = Instant::now();
+    let first_sent_at = Instant::now();
     let second = listener();
     let filler = hold_back(&second);
     let added = member("s-2", second.local_addr().expect("bound"), "in_service");
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{added}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
     until("both are listed", || rig.figure("registry_entries") == 2);
-    first.write_all(&refused_with(500, 0x51)).expect("written"); // it may have run
+    first.write_all(&rejection(500, 0x51)).expect("written"); // it may have run
     until("the repeat waits for its connection", || rig.figure("sent_again") == 1);
-    until("the window is over", || sent.elapsed() > REPEAT_WINDOW);
+    until("the window is over", || first_sent_at.elapsed() > REPEAT_WINDOW);
     drop(filler);
     drop(accept(&second));
-    let mut repeat = accept(&second);
+    let mut retry = accept(&second);
     let answer = hear(&mut viewer);
     assert_eq!((answer.0, answer.1), (12, 0x51), "one final answer");
     drop(rig);
-    assert_eq!(repeat.read(&mut [0; 64]).unwrap_or(0), 0, "nothing was sent");
+    assert_eq!(retry.read(&mut [0; 64]).unwrap_or(0), 0, "nothing was sent");
 }
 
 /// Within the window the same repeat goes out.
 #[test]
-fn a_repeat_within_the_window_is_sent() {
+fn a_retry_within_the_repeat_window_is_sent() {
     let rig = Rig::with_door_and(
-        &short_window().replace("\"repeat_window_us\": 300000", "\"repeat_window_us\": 9e7"),
+        &settings_with_short_repeat_window()
+            .replace("\"repeat_window_us\": 300000", "\"repeat_window_us\": 9e7"),
     );
     let mut discovery = accept(&rig.bulletin);
     let mut viewer = rig.viewer();
@@ -70,14 +70,14 @@
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{added}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
     until("both are listed", || rig.figure("registry_entries") == 2);
-    first.write_all(&refused_with(500, 0x52)).expect("written");
+    first.write_all(&rejection(500, 0x52)).expect("written");
     assert!(read_rtsp(&mut accept(&second)).starts_with("SETUP"));
 }
 
 /// An answer to a paid set-up that is cut at any byte proves nothing: it has failed, said once, and is not sent
 /// again; the next request is not touched by it.
 #[test]
-fn a_paid_answer_cut_at_any_byte_has_failed_once() {
+fn an_at_most_once_set_up_with_a_truncated_answer_fails_once() {
     let answer = stands(0x61, "answer");
     for cut in 0..answer.len() {
         let rig = Rig::start();
@@ -95,9 +95,9 @@
 
 /// A second answer behind the first, of either kind, in the same read or later: the first one counts.
 #[test]
-fn of_two_answers_the_first_counts() {
-    for (late, seconds) in
-        [(false, stands(0x62, "again")), (true, stands(0x62, "again")), (true, refused_with(453, 0x62))]
+fn a_second_answer_to_a_set_up_is_ignored() {
+    for (separately, second) in
+        [(false, stands(0x62, "again")), (true, stands(0x62, "again")), (true, rejection(453, 0x62))]
     {
         let rig = Rig::start();
         let mut viewer = rig.viewer();
@@ -105,14 +105,14 @@
         let mut streamer = rig.streamer();
         read_rtsp(&mut streamer);
         let first = stands(0x62, "answer");
-        let answered = (9, 0x62, [&[61, 0, 6][..], b"answer"].concat());
-        if late {
+        let expected = (9, 0x62, [&[61, 0, 6][..], b"answer"].concat());
+        if separately {
             streamer.write_all(&first).expect("written");
-            assert_eq!(hear(&mut viewer), answered);
-            streamer.write_all(&seconds).expect("written");
+            assert_eq!(hear(&mut viewer), expected);
+            streamer.write_all(&second).expect("written");
         } else {
-            streamer.write_all(&[first, seconds].concat()).expect("written");
-            assert_eq!(hear(&mut viewer), answered);
+            streamer.write_all(&[first, second].concat()).expect("written");
+            assert_eq!(hear(&mut viewer), expected);
         }
         streamer.write_all(&over(0x62)).expect("written");
         assert_eq!(hear(&mut viewer), (12, 0x62, vec![58, 0, 1, 16]), "then its end, and nothing between");
@@ -121,18 +121,18 @@
 
 /// An answer to an attempt that was given up is released at its streamer and not passed on.
 #[test]
-fn an_answer_after_the_give_up_is_released() {
+fn an_answer_after_the_cancellation_is_released_at_the_streamer() {
     let rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x63, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     viewer.write_all(&message(12, 0x63, &[(58, &[16])])).expect("written");
-    let given_up = read_rtsp(&mut streamer);
-    assert!(given_up.starts_with("TEARDOWN") && !given_up.contains("Reason"), "{given_up}");
+    let cancellation = read_rtsp(&mut streamer);
+    assert!(cancellation.starts_with("TEARDOWN") && !cancellation.contains("Reason"), "{cancellation}");
     streamer.write_all(&stands(0x63, "answer")).expect("written");
-    let released = read_rtsp(&mut streamer);
-    assert!(released.starts_with("TEARDOWN") && released.contains("Reason"), "{released}");
+    let release = read_rtsp(&mut streamer);
+    assert!(release.starts_with("TEARDOWN") && release.contains("Reason"), "{release}");
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
     assert_eq!(hear(&mut viewer).0, 53, "nothing of it reached the viewer");
 }
@@ -140,7 +140,7 @@
 /// A connection that does not come up in its time proves that nothing ran: a paid viewer is refused, and may
 /// come again. What comes up late is not used for it.
 #[test]
-fn a_paid_set_up_whose_connection_never_comes_up_is_refused() {
+fn an_at_most_once_set_up_whose_connection_is_never_established_is_refused() {
     let rig = Rig::start();
     let _filler = hold_back(&rig.streamer);
     let mut viewer = rig.viewer();
@@ -151,8 +151,8 @@
 
 /// A connection that comes up late, but within its time, carries the set-up that waited for it.
 #[test]
-fn a_set_up_goes_out_on_a_connection_that_comes_up_late() {
-    let rig = Rig::with_door_and(&short_window());
+fn a_set_up_is_sent_on_a_connection_that_is_established_late() {
+    let rig = Rig::with_door_and(&settings_with_short_repeat_window());
     let filler = hold_back(&rig.streamer);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x65, "replay")).expect("written");
