--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! The codecs without sockets: what each message says, how messages are put together again from any pieces,
-//! and that no bytes from outside do more than end their connection.
+//! Tests of the codecs without sockets: the content of each message, reassembly from fragments, and errors
+//! instead of panics for arbitrary bytes.
 mod common;
 use quickcheck::{Gen, QuickCheck, TestResult};
 use stonewharf::director::Parcel;
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_set_up_is_parsed_with_all_its_fields() {
-    let (message, used) = viewer::read(&set_up_bytes()).expect("sound").expect("whole");
+    let (message, used) = viewer::read(&set_up_bytes()).expect("valid").expect("complete");
     let viewer::FromViewer::SetUp(set_up) = message else { panic!("{message:?}") };
     assert_eq!(used, set_up_bytes().len());
     assert_eq!(
@@ -52,12 +52,12 @@
     assert_eq!(viewer::release(ID, viewer::CAUSE_ENDED), viewer_message(12, &[(58, &[16])]));
     assert_eq!(viewer::answer(ID, b"sdp"), Some(viewer_message(9, &[(61, b"sdp")])));
     assert_eq!(viewer::test_result(ID, true), viewer_message(53, &[(58, &[1])]));
-    assert_eq!(viewer::answer(ID, &[0; MESSAGE_MAX]), None, "over the limit of a message");
+    assert_eq!(viewer::answer(ID, &[0; MESSAGE_MAX]), None, "exceeds the limit of a message");
 }
 
-/// A length that can't be costs its connection. A set-up that names what it must not, lacks what it must have
-/// or runs past its end, and a message of no known type, are answered under their number: they were dropped
-/// without a word, or passed on with figures of nought.
+/// An invalid length is an error that ends the connection. Set-ups with invalid or missing values or
+/// truncated parameters, and messages of unknown type, are parsed as unusable, so that they are answered with
+/// their id: they used to be dropped silently or forwarded with zeros as values.
 #[test]
 fn malformed_binary_messages_are_errors() {
     use viewer::ViewerError::*;
@@ -87,7 +87,8 @@
     assert_eq!(unusable(&title_with_line_break), (ID, SetUp(28)), "would split the request");
 }
 
-/// Guards the choice in `platform/rtsp.rs`: should httparse ever take RTSP's first lines, it can read all.
+/// Guards the design of `platform/rtsp.rs`: if httparse ever accepts RTSP start lines, it can parse the whole
+/// head.
 #[test]
 fn httparse_rejects_rtsp_start_lines() {
     let mut slots = [httparse::EMPTY_HEADER; 4];
@@ -132,7 +133,7 @@
         (rtsp_message("RTSP/1.0 500 Error", 1, "", ""), Rejected(ID, Outcome::Failed, no_report)),
         (rtsp_message("RTSP/1.0 504 Reset", 1, "", ""), Rejected(ID, Outcome::Reset, no_report)),
         (rtsp_message("RTSP/1.0 200 OK", 2, "", ""), ReleaseAcknowledged(ID)),
-        // A release that was heard is free in form, and says nothing without its session.
+        // The form of the response to a release is not prescribed; without a session it is ignored.
         (b"RTSP/1.0 200 OK\r\nCSeq: 2\r\nContent-Length: 0\r\n\r\n".to_vec(), Irrelevant),
         (
             rtsp_message("RTSP/1.0 200 OK", 3, "P-Load: load_share:0.9;x1:1.1\r\n", ""),
@@ -155,12 +156,12 @@
         ),
     ];
     for (bytes, expected) in cases {
-        let read = rtsp::read(&bytes).expect("sound").expect("whole");
+        let read = rtsp::read(&bytes).expect("valid").expect("complete");
         assert_eq!(read, (expected, bytes.len()), "{}", String::from_utf8_lossy(&bytes));
     }
 }
 
-/// A message without end would otherwise be kept without bound.
+/// A message that never ends would otherwise be buffered without bound.
 #[test]
 fn an_oversized_message_of_a_streamer_is_an_error() {
     assert_eq!(rtsp::read(&[b'x'; MESSAGE_MAX]), Err(rtsp::RtspError::TooLong));
@@ -170,7 +171,8 @@
     assert_eq!(rtsp::read(overflowing.as_bytes()), Err(rtsp::RtspError::TooLong));
 }
 
-/// A connection's states while its bytes come in pieces: nothing yet, part of a message, whole messages.
+/// Parses `stream` as if it arrived in fragments whose lengths are those in `cuts` plus one. In between, the
+/// buffer holds nothing, part of a message or whole messages.
 fn parse_in_fragments<M, E: std::fmt::Debug>(
     stream: &[u8],
     cuts: &[u8],
@@ -181,16 +183,16 @@
         let end = (at + 1 + usize::from(*cuts.next().unwrap_or(&0))).min(stream.len());
         inbox.extend(&stream[at..end]);
         at = end;
-        while let Some((message, used)) = read(&inbox).expect("sound in any pieces") {
+        while let Some((message, used)) = read(&inbox).expect("valid in any fragments") {
             messages.push(message);
             inbox.drain(..used);
         }
     }
-    assert!(inbox.is_empty(), "bytes left over");
+    assert!(inbox.is_empty(), "no bytes are left over");
     messages
 }
 
-/// Half-written messages: wherever the bytes are cut, the same messages come out, and none before its end.
+/// Wherever the bytes are split, the same messages result, and none before it is complete.
 #[test]
 fn messages_are_reassembled_from_any_fragments() {
     let binary_stream =
@@ -221,7 +223,7 @@
     }
 }
 
-/// Bytes from outside end their connection at worst; they never panic the process.
+/// Bytes from outside may at worst end their connection; they must never panic the process.
 #[test]
 fn arbitrary_bytes_never_panic_a_parser() {
     fn parses(bytes: Vec<u8>, index: usize, value: u8) -> TestResult {
@@ -244,7 +246,7 @@
     let line = br#"{"no":41,"roster":{"revision":7,"complete":false,"members":[{"id":"s-00c41f7a",
         "host_port":"10.1.0.9:2905","locality":"east","flavor":"std","cell":2,"phase":"terminating","size":4,
         "up_since_ms":1700000000000}]}}"#;
-    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line) else { panic!("not read") };
+    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line) else { panic!("not parsed") };
     let roster = notice.roster.expect("a roster");
     assert_eq!((notice.no, roster.scope()), (41, ListScope::Delta));
     let mut names = common::name_registry();
@@ -253,15 +255,11 @@
     let (entry, address) = &members.entries[0];
     assert_eq!(address.to_string(), "10.1.0.9:2905");
     assert_eq!((entry.cell, entry.standing, entry.weight), (2, Standing::Draining, 4.0));
-    assert_eq!(
-        entry.started_at,
-        Some(1_700_000_000_000_000),
-        "a start before our own is a time like any other"
-    );
+    assert_eq!(entry.started_at, Some(1_700_000_000_000_000), "a start before the director's own is valid");
     assert!(bulletin::read(b"{\"no\":").is_err());
 }
 
-/// One entry that can't be used used to cost the whole event, with the drains of all others in it.
+/// An unusable entry used to discard the whole event, including the drains of all other streamers.
 #[test]
 fn an_unusable_entry_does_not_affect_other_entries() {
     let member = |id: &str, address: &str, phase: &str| {
@@ -273,12 +271,12 @@
         member("s-3", "10.1.0.8:2905", "terminating"),
     ];
     let line = format!(r#"{{"no":2,"roster":{{"members":[{}]}}}}"#, members.join(","));
-    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line.as_bytes()) else { panic!("not read") };
+    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line.as_bytes()) else { panic!("not parsed") };
     let members = notice.roster.expect("a roster").members(&mut common::name_registry());
     let standing: Vec<_> = members.entries.iter().map(|(entry, _)| entry.standing).collect();
-    assert_eq!(standing, vec![Standing::Draining; 2], "an unknown state takes no set-ups");
+    assert_eq!(standing, vec![Standing::Draining; 2], "a streamer in an unknown state gets no set-ups");
     assert_eq!(members.errors.len(), 2);
     for error in members.errors {
-        assert!(error.to_string().contains("correct it in the list"), "says what to do: {error}");
+        assert!(error.to_string().contains("correct it in the list"), "the error says what to do: {error}");
     }
 }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -1,15 +1,16 @@
-//! Attempts that follow others, and answers that come late, twice, cut short or never: one truthful final answer,
-//! and no second attempt where an earlier one may have run or its repeat would no longer be known for one.
+//! Retries, and answers from streamers that are late, duplicated, truncated or missing. The viewer gets one
+//! correct final answer, and there is no second attempt if an earlier one may have run or if the streamers
+//! would no longer recognise the repeat.
 mod common;
 mod rig;
 use rig::*;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// How long streamers recognise a repeat, in these tests.
+/// How long the streamers of these tests recognise a repeated set-up.
 const REPEAT_WINDOW: Duration = Duration::from_millis(300);
 
-/// Settings whose class `seat-view` is deduplicated for a short time, with connections that may come up late.
+/// Settings with a deduplicated class `seat-view`, a short repeat window and a long dial timeout.
 fn settings_with_short_repeat_window() -> String {
     let window = REPEAT_WINDOW.as_micros();
     let seat_view = r#""target_us": 300000, "deadline_us": 600000, "effect": "idempotent""#;
@@ -25,7 +26,8 @@
     format!("{head}Session: {session:016x}\r\nContent-Length: 0\r\n\r\n").into()
 }
 
-/// The repeat was decided on within the window and written whenever its connection came up.
+/// A retry that was decided on within the repeat window used to be written whenever its connection came up,
+/// even after the window.
 #[test]
 fn a_retry_whose_connection_comes_up_after_the_repeat_window_is_not_sent() {
     let rig = Rig::with_door_and(&settings_with_short_repeat_window());
@@ -40,20 +42,20 @@
     let added = member("s-2", second.local_addr().expect("bound"), "in_service");
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{added}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
-    until("both are listed", || rig.figure("registry_entries") == 2);
-    first.write_all(&rejection(500, 0x51)).expect("written"); // it may have run
-    until("the repeat waits for its connection", || rig.figure("sent_again") == 1);
-    until("the window is over", || first_sent_at.elapsed() > REPEAT_WINDOW);
+    until("both streamers are listed", || rig.figure("registry_entries") == 2);
+    first.write_all(&rejection(500, 0x51)).expect("written"); // the attempt may have run
+    until("the retry waits for its connection", || rig.figure("sent_again") == 1);
+    until("the repeat window has passed", || first_sent_at.elapsed() > REPEAT_WINDOW);
     drop(filler);
     drop(accept(&second));
     let mut retry = accept(&second);
     let answer = hear(&mut viewer);
     assert_eq!((answer.0, answer.1), (12, 0x51), "one final answer");
     drop(rig);
-    assert_eq!(retry.read(&mut [0; 64]).unwrap_or(0), 0, "nothing was sent");
+    assert_eq!(retry.read(&mut [0; 64]).unwrap_or(0), 0, "the retry is not sent");
 }
 
-/// Within the window the same repeat goes out.
+/// The same retry is sent within the window.
 #[test]
 fn a_retry_within_the_repeat_window_is_sent() {
     let rig = Rig::with_door_and(
@@ -69,13 +71,13 @@
     let added = member("s-2", second.local_addr().expect("bound"), "in_service");
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{added}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
-    until("both are listed", || rig.figure("registry_entries") == 2);
+    until("both streamers are listed", || rig.figure("registry_entries") == 2);
     first.write_all(&rejection(500, 0x52)).expect("written");
     assert!(read_rtsp(&mut accept(&second)).starts_with("SETUP"));
 }
 
-/// An answer to a paid set-up that is cut at any byte proves nothing: it has failed, said once, and is not sent
-/// again; the next request is not touched by it.
+/// An answer that is truncated at any byte proves nothing about an at-most-once set-up: the set-up fails, is
+/// answered once and not retried, and the next request is not affected.
 #[test]
 fn an_at_most_once_set_up_with_a_truncated_answer_fails_once() {
     let answer = stands(0x61, "answer");
@@ -87,13 +89,14 @@
         read_rtsp(&mut streamer);
         streamer.write_all(&answer[..cut]).expect("written");
         drop(streamer);
-        assert_eq!(hear(&mut viewer), (12, 0x61, vec![58, 0, 1, 41]), "cut at {cut}");
+        assert_eq!(hear(&mut viewer), (12, 0x61, vec![58, 0, 1, 41]), "truncated at {cut}");
         viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-        assert_eq!(hear(&mut viewer).0, 53, "nothing more about it, cut at {cut}");
+        assert_eq!(hear(&mut viewer).0, 53, "no further answer, truncated at {cut}");
     }
 }
 
-/// A second answer behind the first, of either kind, in the same read or later: the first one counts.
+/// Of two answers to a set-up, in the same read or in separate ones, the first one counts, whether the second
+/// is a success or a rejection.
 #[test]
 fn a_second_answer_to_a_set_up_is_ignored() {
     for (separately, second) in
@@ -115,11 +118,15 @@
             assert_eq!(hear(&mut viewer), expected);
         }
         streamer.write_all(&over(0x62)).expect("written");
-        assert_eq!(hear(&mut viewer), (12, 0x62, vec![58, 0, 1, 16]), "then its end, and nothing between");
+        assert_eq!(
+            hear(&mut viewer),
+            (12, 0x62, vec![58, 0, 1, 16]),
+            "the release follows, with nothing in between"
+        );
     }
 }
 
-/// An answer to an attempt that was given up is released at its streamer and not passed on.
+/// A success answer to a cancelled attempt is not forwarded; its session is released at the streamer.
 #[test]
 fn an_answer_after_the_cancellation_is_released_at_the_streamer() {
     let rig = Rig::start();
@@ -134,11 +141,12 @@
     let release = read_rtsp(&mut streamer);
     assert!(release.starts_with("TEARDOWN") && release.contains("Reason"), "{release}");
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut viewer).0, 53, "nothing of it reached the viewer");
+    assert_eq!(hear(&mut viewer).0, 53, "the viewer got no answer");
 }
 
-/// A connection that does not come up in its time proves that nothing ran: a paid viewer is refused, and may
-/// come again. What comes up late is not used for it.
+/// A connection that is not established within the dial timeout proves that nothing ran: the at-most-once
+/// set-up is refused, so that the viewer may retry. A connection that is established later is not used for
+/// it.
 #[test]
 fn an_at_most_once_set_up_whose_connection_is_never_established_is_refused() {
     let rig = Rig::start();
@@ -149,14 +157,14 @@
     assert_eq!((kind, id, &parameters[..4]), (12, 0x64, &[58, 0, 1, 42][..]));
 }
 
-/// A connection that comes up late, but within its time, carries the set-up that waited for it.
+/// A connection that is established late, but within the dial timeout, carries the set-up that waited for it.
 #[test]
 fn a_set_up_is_sent_on_a_connection_that_is_established_late() {
     let rig = Rig::with_door_and(&settings_with_short_repeat_window());
     let filler = hold_back(&rig.streamer);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x65, "replay")).expect("written");
-    until("it is sent", || rig.figure("sent") == 1);
+    until("the set-up is sent", || rig.figure("sent") == 1);
     drop(filler);
     drop(accept(&rig.streamer));
     let mut streamer = rig.streamer();
