--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -187,15 +187,15 @@
         } else {
             connection
                 .queue
-                .retain(|s| !matches!(s, QueuedMessage::SetUp { attempt: a, .. } if *a == attempt));
+                .retain(|m| !matches!(m, QueuedMessage::SetUp { attempt: a, .. } if *a == attempt));
             shared.inputs.push(Input::Unsent(attempt, UnsentReason::NoConnection));
         }
     }
 
     /// Closes a connection on which a cancellation still waits to be written, which cancels the attempt, too.
-    fn cancel_deadline(&mut self, shared: &mut Shared, token: Token, attempt: Attempt) {
+    fn handle_cancel_deadline(&mut self, shared: &mut Shared, token: Token, attempt: Attempt) {
         let Some(connection) = self.connections.get(&token) else { return };
-        let is_queued = |s: &QueuedMessage| matches!(s, QueuedMessage::Cancel(a) if *a == attempt);
+        let is_queued = |m: &QueuedMessage| matches!(m, QueuedMessage::Cancel(a) if *a == attempt);
         if connection.writing == Some(MessageInProgress::Cancel(attempt))
             || connection.queue.iter().any(is_queued)
         {
@@ -257,7 +257,7 @@
     }
 
     /// Reports a load probe that was not answered in time.
-    fn probe_deadline(&mut self, shared: &mut Shared, token: Token, id: RequestId) {
+    fn handle_probe_deadline(&mut self, shared: &mut Shared, token: Token, id: RequestId) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.probes.remove(&id) {
             let (streamer, report) = (connection.streamer, LoadReport::default());
@@ -285,9 +285,9 @@
 
     fn due(&mut self, shared: &mut Shared, director: &Director, due: Due) -> bool {
         match due {
-            Due::Dial(token) => self.dial_deadline(shared, token),
-            Due::Probe(token, id) => self.probe_deadline(shared, token, id),
-            Due::GiveUp(token, attempt) => self.cancel_deadline(shared, token, attempt),
+            Due::Dial(token) => self.handle_dial_deadline(shared, token),
+            Due::Probe(token, id) => self.handle_probe_deadline(shared, token, id),
+            Due::GiveUp(token, attempt) => self.handle_cancel_deadline(shared, token, attempt),
             Due::Watch => {
                 self.check_connections(shared, |s| director.sessions_at(s));
                 shared.wake(CHECK_INTERVAL_US, Due::Watch);
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -141,7 +141,7 @@
     }
 
     /// Abandons a connection that was not established within the dial timeout.
-    pub(super) fn dial_deadline(&mut self, shared: &mut Shared, token: Token) {
+    pub(super) fn handle_dial_deadline(&mut self, shared: &mut Shared, token: Token) {
         if self.connections.get(&token).is_some_and(|c| !c.connected) {
             self.connect_failed(shared, token, &io::ErrorKind::TimedOut.into());
         }
