--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -191,7 +191,7 @@
             Some(fd) => poll::inherit(fd).map_err(|why| NodeError::Inherited(fd, why))?,
             None => viewers::listen(config.listen).map_err(|why| NodeError::Listen(config.listen, why))?,
         };
-        let viewers = Viewers::on(&mut shared, listener, sockets / 2)
+        let viewers = Viewers::new(&mut shared, listener, sockets / 2)
             .map_err(|why| NodeError::Listen(config.listen, why))?;
         let duty = Lifecycle::new(grace_us(transport.longest_deadline_us()), config.inherited.is_some());
         let streamers = Streamers::new(transport.clone(), sockets / 2);
--- a/src/net/duty.rs
+++ b/src/net/duty.rs
@@ -88,7 +88,7 @@
         self.estate_leaves();
         self.shared.deadlines.set(at, Due::Quit);
         if !self.duty.accepts_connections() {
-            self.parts.viewers.shut(&self.shared);
+            self.parts.viewers.stop_accepting(&self.shared);
         }
         self.look_at_duty();
     }
@@ -122,10 +122,15 @@
             self.shared.inputs.push(Input::Hurry);
         }
         if close != CloseScope::None {
-            self.parts.viewers.send_away(&mut self.shared, &self.director, close == CloseScope::All);
+            self.parts.viewers.close_idle_connections(
+                &mut self.shared,
+                &self.director,
+                close == CloseScope::All,
+            );
             self.take_in();
         }
-        if self.duty.may_stop_early(self.parts.viewers.held() + self.director.pending_requests()) {
+        if self.duty.may_stop_early(self.parts.viewers.connection_count() + self.director.pending_requests())
+        {
             return self.quit();
         }
         self.look_at_duty();
@@ -176,8 +181,8 @@
         self.parts.viewers.advance_closing(&mut self.shared, &self.director);
         let Phase::Closing { since } = self.phase else { return };
         let over = since.saturating_add(CLOSING_US) <= self.shared.now;
-        let left = self.parts.viewers.held() == 0 && !self.parts.streamers.writes();
-        if left || over && !self.parts.viewers.writes() {
+        let left = self.parts.viewers.connection_count() == 0 && !self.parts.streamers.writes();
+        if left || over && !self.parts.viewers.has_pending_writes() {
             self.phase = Phase::Done;
         }
     }
@@ -196,7 +201,7 @@
         self.parts.streamers.flush(&mut self.shared);
         self.parts.peers.iter_mut().for_each(|peers| peers.leave(&mut self.shared));
         self.parts.viewers.close_all(&self.shared);
-        if self.parts.viewers.writes() || self.parts.streamers.writes() {
+        if self.parts.viewers.has_pending_writes() || self.parts.streamers.writes() {
             info!(self.shared.log, "waits for its last messages to be written");
         }
         self.shared.wake(CLOSING_US, Due::Closing);
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -225,7 +225,7 @@
                         RequestId(id),
                         crate::platform::viewer::CAUSE_FAILED,
                     );
-                    self.parts.viewers.release(shared, NOBODY, bytes);
+                    self.parts.viewers.send_release(shared, NOBODY, bytes);
                 }
                 Deed::LayDown(ids) => {
                     let ids = ids.into_iter().map(RequestId).collect();
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -25,7 +25,7 @@
             FromViewer::Left(id) => self.shared.inputs.push(Input::ViewerLeft(link, id)),
             FromViewer::Test(id) => {
                 let result = viewer::test_result(id, self.duty.accepts_clients());
-                self.parts.viewers.say(&mut self.shared, link, &result);
+                self.parts.viewers.send(&mut self.shared, link, &result);
             }
             FromViewer::Unusable(id, why) => {
                 debug!(self.shared.log, "a set-up can't be used: {why}");
@@ -75,7 +75,7 @@
         }
         self.shared.inputs.push(match &set_up.at {
             Some(at) => {
-                self.parts.viewers.brought(link);
+                self.parts.viewers.record_handed_over_session(link);
                 let streamer = StreamerId(self.names.streamers.get(at).unwrap_or(u32::MAX));
                 Input::Playing { link, request, streamer }
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -165,7 +165,7 @@
         for heard in std::mem::take(&mut self.shared.heard) {
             match heard {
                 Heard::Viewer(link, message) => self.heard_viewer(link, message),
-                Heard::Closed(token) => self.parts.viewers.ended(&mut self.shared, token),
+                Heard::Closed(token) => self.parts.viewers.handle_peer_close(&mut self.shared, token),
                 Heard::Notice(notice) => self.notice(&notice, false),
                 Heard::Call(token, call) => self.called(token, call),
             }
@@ -206,24 +206,24 @@
         let shared = &mut self.shared;
         match deed {
             Output::Answer(link, id, description) => match viewer::answer(id, &description) {
-                Some(bytes) => self.parts.viewers.stands(shared, link, id, &bytes),
+                Some(bytes) => self.parts.viewers.send_answer(shared, link, id, &bytes),
                 None => {
-                    self.parts.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
+                    self.parts.viewers.send(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
                     shared.inputs.push(Input::Undelivered(id));
                 }
             },
             Output::Refuse(link, id, hold_off_us) => {
-                self.parts.viewers.say(shared, link, &viewer::refusal(id, hold_off_us / 1000));
+                self.parts.viewers.send(shared, link, &viewer::refusal(id, hold_off_us / 1000));
             }
             Output::Fail(link, id) => {
-                self.parts.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
+                self.parts.viewers.send(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
             }
-            Output::Spurn(link, id) => self.parts.viewers.spurn(shared, link, id),
+            Output::Spurn(link, id) => self.parts.viewers.reject_unusable(shared, link, id),
             Output::Release(link, id, why) => {
                 let cause = if why == SessionEnd::Ended { viewer::CAUSE_ENDED } else { viewer::CAUSE_FAILED };
-                self.parts.viewers.release(shared, link, viewer::release(id, cause));
+                self.parts.viewers.send_release(shared, link, viewer::release(id, cause));
             }
-            Output::MoveOff(link, id) => self.parts.viewers.release(shared, link, viewer::move_off(id)),
+            Output::MoveOff(link, id) => self.parts.viewers.send_release(shared, link, viewer::move_off(id)),
             Output::SetUp(set_up) => self.parts.streamers.set_up(shared, set_up),
             Output::GiveUp(streamer, attempt) => self.parts.streamers.give_up(shared, streamer, attempt),
             Output::Drop(streamer, id) => {
--- a/src/net/viewers/closing.rs
+++ b/src/net/viewers/closing.rs
@@ -2,7 +2,7 @@
 //! written; then what the client still sends is read and dropped until it ends its own side. A socket that is
 //! closed with unread bytes is reset, and a reset takes back what the client has not read yet.
 use super::Viewers;
-use super::caller::{CloseReason, Stage};
+use super::connection::{CloseReason, ConnectionState};
 use crate::director::{Director, ViewerLink};
 use crate::interface::Micros;
 use crate::net::part::Ready;
@@ -12,23 +12,23 @@
 use std::io::ErrorKind;
 
 /// How long a client has to end its side after this one has been ended.
-const LINGER_US: Micros = 500_000;
+const PEER_CLOSE_TIMEOUT_US: Micros = 500_000;
 /// A message that has begun is waited for so long on a connection that is to be ended.
-const PARTIAL_US: Micros = 60_000;
+const PARTIAL_MESSAGE_WAIT_US: Micros = 60_000;
 /// What keeps coming on a connection at the process's end is answered for so long.
-const MORE_US: Micros = 1_500_000;
+const SHUTDOWN_READ_LIMIT_US: Micros = 1_500_000;
 
 impl Viewers {
     /// Reads all that waits as the grace period ends: the connections in the backlog, and what has come on
     /// each. Takes no connections afterwards.
     pub fn read_all(&mut self, shared: &mut Shared) {
-        if !self.shut {
+        if !self.stopped_accepting {
             self.accept_all(shared);
         }
         self.listener = None;
-        let tokens: Vec<Token> = self.callers.keys().copied().collect();
+        let tokens: Vec<Token> = self.connections.keys().copied().collect();
         for token in tokens {
-            self.exchange(shared, Ready { token, readable: true, writable: false });
+            self.read_and_write(shared, Ready { token, readable: true, writable: false });
         }
     }
 
@@ -37,24 +37,28 @@
         loop {
             let Some(listener) = &self.listener else { return };
             match listener.source().accept() {
-                Ok((stream, _)) => self.welcome(shared, stream),
-                Err(why) if why.kind() == ErrorKind::WouldBlock => return,
-                Err(why) if matches!(why.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-                Err(why) => return warn!(shared.log, "connections in the backlog can't be taken: {why}"),
+                Ok((stream, _)) => self.add_connection(shared, stream),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+                Err(error) => return warn!(shared.log, "connections in the backlog can't be taken: {error}"),
             }
         }
     }
 
     /// Begins to end all connections, since the process ends.
     pub fn close_all(&mut self, shared: &Shared) {
-        let tokens: Vec<Token> = self.callers.keys().copied().collect();
+        let tokens: Vec<Token> = self.connections.keys().copied().collect();
         tokens.into_iter().for_each(|token| self.begin_close(shared, token, CloseReason::End));
     }
 
     /// Begins to end a connection, as soon as nothing on it is open or unwritten.
-    pub(super) fn begin_close(&mut self, shared: &Shared, token: Token, why: CloseReason) {
-        let Some(caller) = self.callers.get_mut(&token).filter(|c| c.stage == Stage::Open) else { return };
-        caller.stage = Stage::Closing { why, since: shared.now };
+    pub(super) fn begin_close(&mut self, shared: &Shared, token: Token, reason: CloseReason) {
+        let Some(connection) = self.connections.get_mut(&token).filter(|c| c.state == ConnectionState::Open)
+        else {
+            return;
+        };
+        connection.state = ConnectionState::Closing { reason, since: shared.now };
         self.closing.insert(token);
     }
 
@@ -62,40 +66,44 @@
     pub fn advance_closing(&mut self, shared: &mut Shared, director: &Director) {
         let tokens: Vec<Token> = self.closing.iter().copied().collect();
         for token in tokens {
-            let Some(caller) = self.callers.get(&token) else {
+            let Some(connection) = self.connections.get(&token) else {
                 self.closing.remove(&token);
                 continue;
             };
-            let Stage::Closing { why, since } = caller.stage else {
+            let ConnectionState::Closing { reason, since } = connection.state else {
                 self.closing.remove(&token);
                 continue;
             };
-            let open =
-                director.requests_and_sessions_on(ViewerLink(token)).0 > 0 || caller.line.unwritten() > 0;
-            let within = |span: Micros| since.saturating_add(span) > shared.now;
-            let partial = caller.takes_messages() && within(PARTIAL_US);
-            let more = why == CloseReason::End && within(MORE_US);
-            if open || partial && caller.line.partial() || more && self.hears_more(shared, token) {
+            let pending =
+                director.requests_and_sessions_on(ViewerLink(token)).0 > 0 || connection.line.unwritten() > 0;
+            let within = |timeout: Micros| since.saturating_add(timeout) > shared.now;
+            let may_await_partial = connection.accepts_messages() && within(PARTIAL_MESSAGE_WAIT_US);
+            let keeps_reading = reason == CloseReason::End && within(SHUTDOWN_READ_LIMIT_US);
+            if pending
+                || may_await_partial && connection.line.partial()
+                || keeps_reading && self.read_before_close(shared, token)
+            {
                 continue;
             }
-            let begun = self.callers.get(&token).is_some_and(|caller| caller.line.partial());
-            if !(partial && begun) {
-                self.finish(shared, token, why);
+            let has_partial =
+                self.connections.get(&token).is_some_and(|connection| connection.line.partial());
+            if !(may_await_partial && has_partial) {
+                self.shut_down_write(shared, token, reason);
             }
         }
     }
 
     /// Ends this side of a connection.
-    pub(super) fn finish(&mut self, shared: &mut Shared, token: Token, why: CloseReason) {
+    pub(super) fn shut_down_write(&mut self, shared: &mut Shared, token: Token, reason: CloseReason) {
         self.closing.remove(&token);
-        let Some(caller) = self.callers.get_mut(&token) else { return };
+        let Some(connection) = self.connections.get_mut(&token) else { return };
         debug!(shared.log, "this side of a connection from viewers is ended"; "connection" => token,
-            "why" => ?why);
-        if caller.line.finish().is_err() {
-            return self.close(shared, token, why); // it has broken
+            "why" => ?reason);
+        if connection.line.finish().is_err() {
+            return self.close(shared, token, reason); // it has broken
         }
-        let until = shared.now.saturating_add(LINGER_US);
-        caller.stage = Stage::Finished { why, until };
-        shared.deadlines.set(until, Due::Viewer(token));
+        let deadline = shared.now.saturating_add(PEER_CLOSE_TIMEOUT_US);
+        connection.state = ConnectionState::HalfClosed { reason, deadline };
+        shared.deadlines.set(deadline, Due::Viewer(token));
     }
 }
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -1,7 +1,7 @@
 //! The viewers' side: the listener and the connections that viewers' sessions come in on. A connection that
 //! says nothing, or nothing that can be answered, is closed; a full table makes room.
-mod caller;
 mod closing;
+mod connection;
 mod sends;
 
 use super::line::{Got, Line};
@@ -11,28 +11,28 @@
 use crate::director::{Director, ViewerLink};
 use crate::interface::Micros;
 use crate::platform::viewer::{self, FromViewer};
-use caller::{Caller, CloseReason, FIRST_US, SILENT_US, Stage};
+use connection::{CloseReason, Connection, ConnectionState, MESSAGE_TIMEOUT_US, NEW_CONNECTION_GRACE_US};
 use slog::{debug, warn};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 /// Connections taken in one turn at most, so that a crowd does not keep those that are up waiting.
-const ACCEPT_MOST: usize = 128;
+const MAX_ACCEPTS_PER_TURN: usize = 128;
 /// Pause of the listener when no descriptor is left, or no connection can make room yet.
 const ACCEPT_PAUSE_US: Micros = 20_000;
 /// Connections that are looked at to make room for one, where messages keep coming on them.
-const ROOM_TRIES: usize = 16;
+const MAX_EVICTION_TRIES: usize = 16;
 /// Between further looks at a connection.
-const LOOK_US: Micros = 500_000;
+const CHECK_INTERVAL_US: Micros = 500_000;
 /// Listens on an address.
-pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
+pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.bind(&address.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
@@ -40,27 +40,27 @@
 pub struct Viewers {
     /// None once the grace period is over.
     listener: Option<Watched<TcpListener>>,
-    callers: BTreeMap<Token, Caller>,
-    most: usize,
-    kept: VecDeque<(Micros, Vec<u8>)>,
+    connections: BTreeMap<Token, Connection>,
+    max_connections: usize,
+    queued_releases: VecDeque<(Micros, Vec<u8>)>,
     /// Connections that are to be ended once nothing on them is open or unwritten.
     closing: BTreeSet<Token>,
     /// No connections are taken any more.
-    shut: bool,
+    stopped_accepting: bool,
 }
 
 impl Viewers {
     /// Takes connections from a listener; holds so many at most.
-    pub fn on(shared: &mut Shared, listener: TcpListener, most: usize) -> io::Result<Self> {
+    pub fn new(shared: &mut Shared, listener: TcpListener, max_connections: usize) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let listener = shared.poll.watch(listener, false)?;
         Ok(Viewers {
             listener: Some(listener),
-            callers: BTreeMap::new(),
-            most,
-            kept: VecDeque::new(),
+            connections: BTreeMap::new(),
+            max_connections,
+            queued_releases: VecDeque::new(),
             closing: BTreeSet::new(),
-            shut: false,
+            stopped_accepting: false,
         })
     }
 
@@ -72,53 +72,53 @@
 
     /// Takes the connections that wait. A full table makes room for them.
     fn accept(&mut self, shared: &mut Shared, director: &Director) {
-        for _ in 0..ACCEPT_MOST {
-            if self.callers.len() >= self.most && !self.make_room(shared, director) {
-                return self.pause(shared); // the backlog keeps them
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if self.connections.len() >= self.max_connections && !self.evict_one(shared, director) {
+                return self.pause_accepting(shared); // the backlog keeps them
             }
             let Some(listener) = &self.listener else { return };
             match listener.source().accept() {
-                Ok((stream, _)) => self.welcome(shared, stream),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(why) => {
+                Ok((stream, _)) => self.add_connection(shared, stream),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => {
                     shared.counters.descriptors_out += 1;
-                    if self.make_room(shared, director) {
+                    if self.evict_one(shared, director) {
                         continue;
                     }
-                    warn!(shared.log, "no connection can be taken: {why}");
-                    return self.pause(shared);
+                    warn!(shared.log, "no connection can be taken: {error}");
+                    return self.pause_accepting(shared);
                 }
             }
         }
     }
 
-    fn welcome(&mut self, shared: &mut Shared, stream: TcpStream) {
+    fn add_connection(&mut self, shared: &mut Shared, stream: TcpStream) {
         let line = match Line::accepted(&mut shared.poll, stream) {
             Ok(line) => line,
-            Err(why) => {
-                return warn!(shared.log, "a connection from viewers could not be set up: {why}");
+            Err(error) => {
+                return warn!(shared.log, "a connection from viewers could not be set up: {error}");
             }
         };
         shared.counters.viewer_connections += 1;
         let token = line.token();
-        self.callers.insert(token, Caller::new(line, shared.now));
-        shared.wake(SILENT_US, Due::Viewer(token));
+        self.connections.insert(token, Connection::new(line, shared.now));
+        shared.wake(MESSAGE_TIMEOUT_US, Due::Viewer(token));
     }
 
     /// Closes a connection on which no request waits, if it had its time to bring one: best one on which no
     /// session ever stood, the longest unheard of first. What has come on it meanwhile is heard instead.
-    fn make_room(&mut self, shared: &mut Shared, director: &Director) -> bool {
-        for _ in 0..ROOM_TRIES {
-            let least = self.callers.iter().filter(|(t, c)| {
-                director.requests_and_sessions_on(ViewerLink(**t)).0 == 0 && c.may_make_room(shared.now)
+    fn evict_one(&mut self, shared: &mut Shared, director: &Director) -> bool {
+        for _ in 0..MAX_EVICTION_TRIES {
+            let candidates = self.connections.iter().filter(|(t, c)| {
+                director.requests_and_sessions_on(ViewerLink(**t)).0 == 0 && c.is_evictable(shared.now)
             });
-            let least = least.min_by_key(|(_, c)| (c.stood, c.heard_at)).map(|(t, _)| *t);
-            let Some(token) = least else { return false };
-            let more = self.hears_more(shared, token);
-            if !more && self.callers.get(&token).is_some_and(|c| c.may_make_room(shared.now)) {
-                self.shed(shared, token, CloseReason::Room);
+            let oldest = candidates.min_by_key(|(_, c)| (c.had_session, c.last_message_at)).map(|(t, _)| *t);
+            let Some(token) = oldest else { return false };
+            let received = self.read_before_close(shared, token);
+            if !received && self.connections.get(&token).is_some_and(|c| c.is_evictable(shared.now)) {
+                self.evict(shared, token, CloseReason::Room);
                 return true;
             }
         }
@@ -127,44 +127,46 @@
 
     /// Reads what has come on a connection that is about to be closed, and tells whether that was a message
     /// or its end: then it is not closed from here.
-    fn hears_more(&mut self, shared: &mut Shared, token: Token) -> bool {
-        let heard = shared.heard.len();
-        self.exchange(shared, Ready { token, readable: true, writable: false });
-        shared.heard.len() > heard
+    fn read_before_close(&mut self, shared: &mut Shared, token: Token) -> bool {
+        let heard_before = shared.heard.len();
+        self.read_and_write(shared, Ready { token, readable: true, writable: false });
+        shared.heard.len() > heard_before
     }
 
-    fn shed(&mut self, shared: &mut Shared, token: Token, why: CloseReason) {
+    fn evict(&mut self, shared: &mut Shared, token: Token, reason: CloseReason) {
         shared.counters.viewers_shed += 1;
-        self.close(shared, token, why);
+        self.close(shared, token, reason);
     }
 
     /// Looks after a connection: closes one that has said nothing in its time, holds a message back, or has
     /// had nothing on it for long.
-    fn look(&mut self, shared: &mut Shared, token: Token, director: &Director) {
+    fn check_connection(&mut self, shared: &mut Shared, token: Token, director: &Director) {
         if self.close_stalled(shared, token) {
             return;
         }
-        let Some(caller) = self.callers.get(&token) else { return };
-        match caller.stage {
-            Stage::Open => {}
-            Stage::Closing { .. } => return shared.wake(LOOK_US, Due::Viewer(token)),
-            Stage::Finished { why, until } if until <= shared.now => return self.close(shared, token, why),
-            Stage::Finished { .. } => return,
+        let Some(connection) = self.connections.get(&token) else { return };
+        match connection.state {
+            ConnectionState::Open => {}
+            ConnectionState::Closing { .. } => return shared.wake(CHECK_INTERVAL_US, Due::Viewer(token)),
+            ConnectionState::HalfClosed { reason, deadline } if deadline <= shared.now => {
+                return self.close(shared, token, reason);
+            }
+            ConnectionState::HalfClosed { .. } => return,
         }
-        let (open, standing) = director.requests_and_sessions_on(ViewerLink(token));
-        let overdue = |caller: &Caller| caller.overdue(shared.now, standing);
-        if open == 0 && overdue(caller) {
-            let more = self.hears_more(shared, token);
-            if !more && self.callers.get(&token).is_some_and(|c| c.overdue(shared.now, standing)) {
+        let (pending, sessions) = director.requests_and_sessions_on(ViewerLink(token));
+        let is_overdue = |connection: &Connection| connection.is_overdue(shared.now, sessions);
+        if pending == 0 && is_overdue(connection) {
+            let received = self.read_before_close(shared, token);
+            if !received && self.connections.get(&token).is_some_and(|c| c.is_overdue(shared.now, sessions)) {
                 shared.counters.viewers_shed += 1;
-                return self.finish(shared, token, CloseReason::Silent);
+                return self.shut_down_write(shared, token, CloseReason::Silent);
             }
         }
-        shared.wake(LOOK_US, Due::Viewer(token));
+        shared.wake(CHECK_INTERVAL_US, Due::Viewer(token));
     }
 
     /// Without a pause the waiting connections would wake the loop again at once.
-    fn pause(&mut self, shared: &mut Shared) {
+    fn pause_accepting(&mut self, shared: &mut Shared) {
         let paused = self.listener.as_mut().is_some_and(|l| l.interest(false, false).is_ok());
         if paused {
             shared.wake(ACCEPT_PAUSE_US, Due::Accept);
@@ -172,123 +174,125 @@
     }
 
     /// Takes no further connections: they are another process's.
-    pub fn shut(&mut self, shared: &Shared) {
-        self.shut = true;
+    pub fn stop_accepting(&mut self, shared: &Shared) {
+        self.stopped_accepting = true;
         let Some(listener) = &mut self.listener else { return };
-        if let Err(why) = listener.interest(false, false) {
-            warn!(shared.log, "the listener is still watched: {why}");
+        if let Err(error) = listener.interest(false, false) {
+            warn!(shared.log, "the listener is still watched: {error}");
         }
     }
 
-    fn listens_on(&self, token: Token) -> bool {
+    fn is_listener(&self, token: Token) -> bool {
         self.listener.as_ref().is_some_and(|listener| listener.token() == token)
     }
 
     /// Connections that are held.
-    pub fn held(&self) -> usize {
-        self.callers.len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
     /// Sends viewers away: closes the connections on which no request is open and nothing is on its way,
     /// where `all` is false only those without a session. What has come meanwhile is heard instead. A new one
     /// has its time to bring its first message.
-    pub fn send_away(&mut self, shared: &mut Shared, director: &Director, all: bool) {
-        let quiet = |(token, c): (&Token, &Caller)| {
-            let settled = c.answered || c.since.saturating_add(FIRST_US) <= shared.now;
-            let (open, standing) = director.requests_and_sessions_on(ViewerLink(*token));
-            let quiet = c.stage == Stage::Open && settled && c.line.unwritten() == 0;
-            (open == 0 && (all || standing == 0) && quiet).then_some(*token)
+    pub fn close_idle_connections(&mut self, shared: &mut Shared, director: &Director, all: bool) {
+        let if_idle = |(token, c): (&Token, &Connection)| {
+            let past_grace =
+                c.answered || c.accepted_at.saturating_add(NEW_CONNECTION_GRACE_US) <= shared.now;
+            let (pending, sessions) = director.requests_and_sessions_on(ViewerLink(*token));
+            let idle = c.state == ConnectionState::Open && past_grace && c.line.unwritten() == 0;
+            (pending == 0 && (all || sessions == 0) && idle).then_some(*token)
         };
-        let quiet: Vec<Token> = self.callers.iter().filter_map(quiet).collect();
-        for token in quiet {
-            let more = self.hears_more(shared, token);
-            let partial = self.callers.get(&token).is_some_and(|c| c.line.partial());
-            if !more && !partial {
+        let idle_tokens: Vec<Token> = self.connections.iter().filter_map(if_idle).collect();
+        for token in idle_tokens {
+            let received = self.read_before_close(shared, token);
+            let has_partial = self.connections.get(&token).is_some_and(|c| c.line.partial());
+            if !received && !has_partial {
                 shared.counters.viewers_sent_away += 1;
-                self.finish(shared, token, CloseReason::Drain);
+                self.shut_down_write(shared, token, CloseReason::Drain);
             }
         }
     }
 
     /// Takes connections again after a pause.
-    fn resume(&mut self, shared: &mut Shared, director: &Director) {
-        if self.shut {
+    fn resume_accepting(&mut self, shared: &mut Shared, director: &Director) {
+        if self.stopped_accepting {
             return;
         }
         let Some(listener) = &mut self.listener else { return };
-        if let Err(why) = listener.interest(true, false) {
-            warn!(shared.log, "the listener can't be watched: {why}");
+        if let Err(error) = listener.interest(true, false) {
+            warn!(shared.log, "the listener can't be watched: {error}");
         }
         self.accept(shared, director);
     }
 
     /// Reads and writes a connection that is ready; what came whole is heard, and behind it that its viewer
     /// has closed it.
-    fn exchange(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
-        let Some(caller) = self.callers.get_mut(&token) else { return };
-        if writable && let Err(why) = caller.line.write() {
-            debug!(shared.log, "a connection from viewers broke: {why}");
-            (caller.broken, caller.reset) = (true, true); // what came on it before is still heard
+    fn read_and_write(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if writable && let Err(error) = connection.line.write() {
+            debug!(shared.log, "a connection from viewers broke: {error}");
+            (connection.broken, connection.reset) = (true, true); // what came on it before is still heard
         }
-        if !readable && !caller.broken {
+        if !readable && !connection.broken {
             return self.resume_reading(shared, token);
         }
-        let got = caller.line.read();
-        caller.reset |= got.is_err();
-        if !caller.takes_messages() {
-            caller.line.discard();
-            caller.broken |= !matches!(got, Ok(Got::Bytes));
-            if caller.broken {
+        let read_result = connection.line.read();
+        connection.reset |= read_result.is_err();
+        if !connection.accepts_messages() {
+            connection.line.discard();
+            connection.broken |= !matches!(read_result, Ok(Got::Bytes));
+            if connection.broken {
                 shared.heard.push(Heard::Closed(token));
             }
             return;
         }
-        let (whole, bad) = caller.line.take(viewer::read);
-        caller.heard(shared.now, !whole.is_empty());
-        let shown = !caller.viewer && whole.iter().any(|m| matches!(m, FromViewer::SetUp(_)));
-        caller.viewer |= shown;
-        caller.broken |= !matches!(got, Ok(Got::Bytes));
-        let broken = caller.broken;
-        if let Some(why) = bad {
+        let (messages, parse_error) = connection.line.take(viewer::read);
+        connection.record_read(shared.now, !messages.is_empty());
+        let newly_identified =
+            !connection.is_viewer && messages.iter().any(|m| matches!(m, FromViewer::SetUp(_)));
+        connection.is_viewer |= newly_identified;
+        connection.broken |= !matches!(read_result, Ok(Got::Bytes));
+        let broken = connection.broken;
+        if let Some(error) = parse_error {
             shared.counters.malformed += 1;
-            debug!(shared.log, "malformed message from viewers, connection closed: {why}");
-            caller.line.discard();
+            debug!(shared.log, "malformed message from viewers, connection closed: {error}");
+            connection.line.discard();
             self.begin_close(shared, token, CloseReason::Malformed);
         }
-        if let Err(why) = &got {
-            debug!(shared.log, "a connection from viewers broke: {why}");
+        if let Err(error) = &read_result {
+            debug!(shared.log, "a connection from viewers broke: {error}");
         }
-        shared.heard.extend(whole.into_iter().map(|message| Heard::Viewer(ViewerLink(token), message)));
+        shared.heard.extend(messages.into_iter().map(|message| Heard::Viewer(ViewerLink(token), message)));
         if broken {
             shared.heard.push(Heard::Closed(token));
-        } else if shown {
-            self.deliver_kept(shared);
+        } else if newly_identified {
+            self.send_queued_releases(shared);
         }
     }
 
     /// Closes a connection that its viewer has closed.
-    pub fn ended(&mut self, shared: &mut Shared, token: Token) {
+    pub fn handle_peer_close(&mut self, shared: &mut Shared, token: Token) {
         self.close(shared, token, CloseReason::Gone);
     }
 }
 
 impl Part for Viewers {
     fn owns(&self, token: Token) -> bool {
-        self.callers.contains_key(&token) || self.listens_on(token)
+        self.connections.contains_key(&token) || self.is_listener(token)
     }
 
     fn ready(&mut self, shared: &mut Shared, director: &Director, ready: Ready) {
-        if self.listens_on(ready.token) {
+        if self.is_listener(ready.token) {
             self.accept(shared, director);
         } else {
-            self.exchange(shared, ready);
+            self.read_and_write(shared, ready);
         }
     }
 
     fn due(&mut self, shared: &mut Shared, director: &Director, due: Due) -> bool {
         match due {
-            Due::Viewer(token) => self.look(shared, token, director),
-            Due::Accept => self.resume(shared, director),
+            Due::Viewer(token) => self.check_connection(shared, token, director),
+            Due::Accept => self.resume_accepting(shared, director),
             _ => return false,
         }
         true
