--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -4,7 +4,7 @@
 use crate::director::{Input, Parcel, ViewerLink};
 use crate::interface::{Entry, ListScope, RequestId, Standing, StreamerId};
 use crate::platform::bulletin::{Members, Notice};
-use crate::platform::viewer::{self, FromViewer, SetUp};
+use crate::platform::viewer::{self, SetUp, ViewerMessage};
 use crate::settings::NamedRequest;
 use slog::{debug, warn};
 use std::net::SocketAddr;
@@ -18,20 +18,20 @@
 const LATELY_MS: u64 = 5_000;
 
 impl Node {
-    pub(super) fn heard_viewer(&mut self, link: ViewerLink, message: FromViewer) {
+    pub(super) fn heard_viewer(&mut self, link: ViewerLink, message: ViewerMessage) {
         self.parts.peers.iter_mut().for_each(|peers| peers.serves(self.shared.now));
         match message {
-            FromViewer::SetUp(set_up) => self.wanted(link, *set_up),
-            FromViewer::Left(id) => self.shared.inputs.push(Input::ViewerLeft(link, id)),
-            FromViewer::Test(id) => {
+            ViewerMessage::SetUp(set_up) => self.wanted(link, *set_up),
+            ViewerMessage::Release(id) => self.shared.inputs.push(Input::ViewerLeft(link, id)),
+            ViewerMessage::Test(id) => {
                 let result = viewer::test_result(id, self.duty.accepts_clients());
                 self.parts.viewers.send(&mut self.shared, link, &result);
             }
-            FromViewer::Unusable(id, why) => {
+            ViewerMessage::Unusable(id, why) => {
                 debug!(self.shared.log, "a set-up can't be used: {why}");
                 self.shared.inputs.push(Input::Unusable(link, id));
             }
-            FromViewer::Idle => {}
+            ViewerMessage::Ignored => {}
         }
     }
 
@@ -47,11 +47,11 @@
             tenant: None,
             title: &set_up.title,
             viewer: &set_up.viewer,
-            start_cell: set_up.home,
-            cells_in_row: set_up.copies,
-            max_rung: set_up.top,
+            start_cell: set_up.start_cell,
+            cells_in_row: set_up.cells_in_row,
+            max_rung: set_up.max_rung,
             left_us: wait_us,
-            returned: set_up.again || set_up.retry,
+            returned: set_up.returning || set_up.retry,
         };
         let request = match self.names.check_ranges(&wanted).and_then(|()| self.names.request(&wanted)) {
             Ok(request) => request,
@@ -60,20 +60,20 @@
                 return self.shared.inputs.push(Input::Unusable(link, id));
             }
         };
-        if set_up.at.is_some() {
+        if set_up.playing_at.is_some() {
             self.inherit();
         } else {
-            let top = set_up.top.and_then(|top| u32::try_from(top).ok());
+            let top = set_up.max_rung.and_then(|top| u32::try_from(top).ok());
             self.estate_wanted(set_up.session, || Stub {
                 class: set_up.class.clone(),
                 title: set_up.title.clone(),
                 viewer: set_up.viewer.clone(),
-                home: set_up.home,
-                copies: set_up.copies,
+                home: set_up.start_cell,
+                copies: set_up.cells_in_row,
                 top,
             });
         }
-        self.shared.inputs.push(match &set_up.at {
+        self.shared.inputs.push(match &set_up.playing_at {
             Some(at) => {
                 self.parts.viewers.record_handed_over_session(link);
                 let streamer = StreamerId(self.names.streamers.get(at).unwrap_or(u32::MAX));
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Micros, RequestId};
 use crate::platform::bulletin::Notice;
 use crate::platform::door::Call;
-use crate::platform::viewer::FromViewer;
+use crate::platform::viewer::ViewerMessage;
 use slog::Logger;
 
 /// Every deadline of the program, the core's among them.
@@ -46,7 +46,7 @@
 /// What a part heard that needs names or settings before the core can hear it.
 pub enum Heard {
     /// A message from viewers.
-    Viewer(ViewerLink, FromViewer),
+    Viewer(ViewerLink, ViewerMessage),
     /// A connection that its viewer has closed, behind its last message.
     Closed(Token),
     /// An event of the bulletin.
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -10,7 +10,7 @@
 use super::shared::{Due, Heard, Shared};
 use crate::director::{Director, ViewerLink};
 use crate::interface::Micros;
-use crate::platform::viewer::{self, FromViewer};
+use crate::platform::viewer::{self, ViewerMessage};
 use connection::{CloseReason, Connection, ConnectionState, MESSAGE_TIMEOUT_US, NEW_CONNECTION_GRACE_US};
 use slog::{debug, warn};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -249,7 +249,7 @@
         let (messages, parse_error) = connection.line.take(viewer::read);
         connection.record_read(shared.now, !messages.is_empty());
         let newly_identified =
-            !connection.is_viewer && messages.iter().any(|m| matches!(m, FromViewer::SetUp(_)));
+            !connection.is_viewer && messages.iter().any(|m| matches!(m, ViewerMessage::SetUp(_)));
         connection.is_viewer |= newly_identified;
         connection.broken |= !matches!(read_result, Ok(Got::Bytes));
         let broken = connection.broken;
--- a/src/net/viewers/sends.rs
+++ b/src/net/viewers/sends.rs
@@ -180,7 +180,7 @@
                 self.send_release(shared, ViewerLink(0), bytes);
             } else {
                 warn!(shared.log, "a release came to no client in its time";
-                    "session" => viewer::session_of(&bytes));
+                    "session" => viewer::session_hex(&bytes));
             }
         }
     }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -32,11 +32,11 @@
 #[test]
 fn a_set_up_is_read_with_all_its_fields() {
     let (message, used) = viewer::read(&set_up_bytes()).expect("sound").expect("whole");
-    let viewer::FromViewer::SetUp(s) = message else { panic!("{message:?}") };
+    let viewer::ViewerMessage::SetUp(s) = message else { panic!("{message:?}") };
     assert_eq!(used, set_up_bytes().len());
     assert_eq!((s.session, s.class.as_str(), s.wait_ms, s.retry), (ID.0, "paid", Some(1500), true));
-    assert_eq!((s.home, s.copies, s.top, s.again), (4, 3, Some(2), true));
-    assert_eq!((s.viewer.as_str(), s.at.as_deref()), ("00000000b4d65521", Some("s-00c41f7a")));
+    assert_eq!((s.start_cell, s.cells_in_row, s.max_rung, s.returning), (4, 3, Some(2), true));
+    assert_eq!((s.viewer.as_str(), s.playing_at.as_deref()), ("00000000b4d65521", Some("s-00c41f7a")));
     assert_eq!(s.description, b"\x00raw\xff");
 }
 
@@ -56,27 +56,27 @@
 fn malformed_binary_messages_are_errors() {
     use viewer::ViewerError::*;
     let unusable = |bytes: &[u8]| match viewer::read(bytes) {
-        Ok(Some((viewer::FromViewer::Unusable(id, why), used))) if used == bytes.len() => (id, why),
+        Ok(Some((viewer::ViewerMessage::Unusable(id, why), used))) if used == bytes.len() => (id, why),
         other => panic!("{other:?}"),
     };
     let set_up = |figures: &[u8]| binary(1, &[(16, b"paid"), (28, b"7f3a"), (31, figures)]);
     for lacking in
         [&b"home:4;copies:3;viewer:b4"[..], b"home:4;top:2;viewer:b4", b"", b"home:-1", b"copies:nan"]
     {
-        assert_eq!(unusable(&set_up(lacking)), (ID, SetUp(31)));
+        assert_eq!(unusable(&set_up(lacking)), (ID, SetUpParameter(31)));
     }
-    assert_eq!(unusable(&binary(123, &[(16, b"paid")])), (ID, Kind(123)));
+    assert_eq!(unusable(&binary(123, &[(16, b"paid")])), (ID, UnknownType(123)));
     let mut unnumbered = set_up(b"home:4;copies:3;top:2;viewer:b4");
     unnumbered[3..11].fill(0);
-    assert_eq!(unusable(&unnumbered), (RequestId(0), Unnumbered));
+    assert_eq!(unusable(&unnumbered), (RequestId(0), MissingSession));
     assert_eq!(viewer::read(&[0, 8, 1]), Err(viewer::ViewerError::Length(8)));
     assert_eq!(viewer::read(&[0xff, 0xff]), Err(viewer::ViewerError::Length(0xffff)));
     let mut cut_short = [binary(1, &[(16, b"paid")]), vec![28, 0, 9]].concat();
     cut_short[1] += 3;
-    assert_eq!(unusable(&cut_short), (ID, Parameter));
+    assert_eq!(unusable(&cut_short), (ID, TruncatedParameter));
     let line_break =
         binary(1, &[(16, b"paid"), (28, b"x RTSP/1.0\r\nCSeq: 9"), (31, b"home:4;copies:3;top:2;viewer:b4")]);
-    assert_eq!(unusable(&line_break), (ID, SetUp(28)), "would split the request");
+    assert_eq!(unusable(&line_break), (ID, SetUpParameter(28)), "would split the request");
 }
 
 /// Guards the choice in `platform/rtsp.rs`: should httparse ever take RTSP's first lines, it can read all.
