--- a/src/net/viewers/closing.rs
+++ b/src/net/viewers/closing.rs
@@ -1,6 +1,9 @@
-//! How connections from viewers are ended in order: this side first, once all that was taken is answered and
-//! written; then what the client still sends is read and dropped until it ends its own side. A socket that is
-//! closed with unread bytes is reset, and a reset takes back what the client has not read yet.
+//! Graceful close of viewer connections.
+//!
+//! A connection is shut down for writing once all requests received on it are answered and the answers
+//! written. Data that the client still sends is then read and discarded until the client closes its side.
+//! Closing a socket with unread data would reset the connection, and a reset discards data that the client
+//! has not read yet.
 use super::Viewers;
 use super::connection::{CloseReason, ConnectionState};
 use crate::director::{Director, ViewerLink};
@@ -11,16 +14,16 @@
 use slog::{debug, warn};
 use std::io::ErrorKind;
 
-/// How long a client has to end its side after this one has been ended.
+/// Time for a client to close its side after the connection was shut down for writing.
 const PEER_CLOSE_TIMEOUT_US: Micros = 500_000;
-/// A message that has begun is waited for so long on a connection that is to be ended.
+/// Time for a partly received message to be completed on a connection that is to be closed.
 const PARTIAL_MESSAGE_WAIT_US: Micros = 60_000;
-/// What keeps coming on a connection at the process's end is answered for so long.
+/// Time during which messages that keep arriving on a connection at shutdown are still answered.
 const SHUTDOWN_READ_LIMIT_US: Micros = 1_500_000;
 
 impl Viewers {
-    /// Reads all that waits as the grace period ends: the connections in the backlog, and what has come on
-    /// each. Takes no connections afterwards.
+    /// Accepts the connections in the backlog and reads from all connections, as the grace period ends. No
+    /// connections are accepted afterwards.
     pub fn read_all(&mut self, shared: &mut Shared) {
         if !self.stopped_accepting {
             self.accept_all(shared);
@@ -32,7 +35,7 @@
         }
     }
 
-    /// Takes all connections that wait, though the table be full: they are all ended soon.
+    /// Accepts all waiting connections, even beyond the limit, since all of them are closed soon.
     fn accept_all(&mut self, shared: &mut Shared) {
         loop {
             let Some(listener) = &self.listener else { return };
@@ -41,18 +44,20 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-                Err(error) => return warn!(shared.log, "connections in the backlog can't be taken: {error}"),
+                Err(error) => {
+                    return warn!(shared.log, "cannot accept the connections in the backlog: {error}");
+                }
             }
         }
     }
 
-    /// Begins to end all connections, since the process ends.
+    /// Begins to close all connections because the process is shutting down.
     pub fn close_all(&mut self, shared: &Shared) {
         let tokens: Vec<Token> = self.connections.keys().copied().collect();
         tokens.into_iter().for_each(|token| self.begin_close(shared, token, CloseReason::End));
     }
 
-    /// Begins to end a connection, as soon as nothing on it is open or unwritten.
+    /// Marks a connection to be shut down once nothing on it is pending or unwritten.
     pub(super) fn begin_close(&mut self, shared: &Shared, token: Token, reason: CloseReason) {
         let Some(connection) = self.connections.get_mut(&token).filter(|c| c.state == ConnectionState::Open)
         else {
@@ -62,7 +67,7 @@
         self.closing.insert(token);
     }
 
-    /// Ends this side of the connections on which nothing is open or unwritten any more.
+    /// Shuts down the closing connections on which nothing is pending or unwritten any more.
     pub fn advance_closing(&mut self, shared: &mut Shared, director: &Director) {
         let tokens: Vec<Token> = self.closing.iter().copied().collect();
         for token in tokens {
@@ -93,14 +98,14 @@
         }
     }
 
-    /// Ends this side of a connection.
+    /// Shuts a connection down for writing. It is closed once the client has closed its side.
     pub(super) fn shut_down_write(&mut self, shared: &mut Shared, token: Token, reason: CloseReason) {
         self.closing.remove(&token);
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        debug!(shared.log, "this side of a connection from viewers is ended"; "connection" => token,
+        debug!(shared.log, "viewer connection shut down for writing"; "connection" => token,
             "why" => ?reason);
         if connection.line.finish().is_err() {
-            return self.close(shared, token, reason); // it has broken
+            return self.close(shared, token, reason); // the connection has failed
         }
         let deadline = shared.now.saturating_add(PEER_CLOSE_TIMEOUT_US);
         connection.state = ConnectionState::HalfClosed { reason, deadline };
--- a/src/net/viewers/connection.rs
+++ b/src/net/viewers/connection.rs
@@ -1,121 +1,126 @@
-//! One connection from viewers: its buffers, what it brought so far, and which messages have not left it yet.
+//! State of one viewer connection: its buffers, what has been received on it, and which messages have not
+//! been written completely.
 use crate::interface::{Micros, RequestId};
 use crate::net::line::Line;
 use std::collections::VecDeque;
 
-/// A connection has so long to bring its first bytes before it may make room for another.
+/// Time for a new connection to send its first bytes before it may be evicted.
 pub const NEW_CONNECTION_GRACE_US: Micros = 100_000;
-/// A connection without a session is closed by its viewer after 4 s; held longer it is closed from here.
+/// Time without a message after which a connection without a session is closed. Viewers close such
+/// connections after 4 s themselves. Also the longest time for receiving one message.
 pub const IDLE_TIMEOUT_US: Micros = 6_000_000;
 
-/// Part of a message that has been read.
+/// Receive times of a message that has not been read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartialMessage {
-    /// When its first bytes came.
+    /// When its first bytes were read.
     pub started_at: Micros,
-    /// When its last bytes came.
+    /// When its latest bytes were read.
     pub last_read_at: Micros,
 }
 
-/// A client that does not read what waits for it.
+/// A client that does not read the data written for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stall {
-    /// Since when.
+    /// Start of the period in which it has read nothing.
     pub since: Micros,
-    /// Bytes that had left by then.
+    /// Total number of bytes written by then.
     pub written_total: u64,
 }
 
-/// A message that has not left its connection whole, and must not be lost with it.
+/// A message that must not be lost if its connection breaks before the message is written completely.
 pub enum UnsentMessage {
-    /// The answer that this session stands.
+    /// The answer that this session is established.
     Answer(RequestId),
-    /// What ends a session.
+    /// The encoded message that ends a session.
     Release(Vec<u8>),
 }
 
-/// By then a connection has said something that is answered, or is closed; the same holds for the next bytes
-/// of a message that has begun.
+/// Time for a new connection to send a first message that gets an answer, and for a partly received message
+/// to continue. After that the connection is closed.
 pub const MESSAGE_TIMEOUT_US: Micros = 1_500_000;
-/// The next bytes of a message that has begun may take so long before its connection makes room for another.
+/// Time for a partly received message to continue before its connection may be evicted.
 const PARTIAL_MESSAGE_GRACE_US: Micros = 500_000;
 
-/// An answer older than this was read before its connection was reset.
+/// Age from which an answer counts as read, even if its connection was reset afterwards.
 const ASSUMED_READ_AFTER_US: Micros = 500_000;
 
-/// Why a connection from viewers is closed.
+/// Why a viewer connection is closed. Log records contain the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its client has closed it, or it broke.
+    /// The client closed it, or it failed.
     Gone,
-    /// It brought what can't be read.
+    /// It carried data that could not be parsed.
     Malformed,
-    /// Nothing on it could be used.
+    /// Too many set-ups on it were unusable.
     Unusable,
-    /// It had said nothing in its time, held a message back, or had nothing on it for long.
+    /// No first message, no further part of a message, or no message for long.
     Silent,
-    /// Another connection needs its place.
+    /// It was evicted in favour of a new connection.
     Room,
-    /// Clients are sent away.
+    /// The director is draining.
     Drain,
-    /// The process ends.
+    /// The process is shutting down.
     End,
 }
 
-/// How far a connection is on its way to its end.
+/// How far the close of a connection has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// It is in use.
+    /// In use.
     Open,
-    /// It is ended as soon as what was taken on it is answered and written.
+    /// To be shut down as soon as all requests received on it are answered and the answers written.
     Closing {
-        /// Why.
+        /// Why it is closed.
         reason: CloseReason,
-        /// Since when.
+        /// When the close began.
         since: Micros,
     },
-    /// This side has ended. What the client still sends is dropped until it ends its own.
+    /// Shut down for writing. Data is discarded until the client closes its side.
     HalfClosed {
-        /// Why.
+        /// Why it is closed.
         reason: CloseReason,
-        /// By when the client must have ended its side.
+        /// Latest time for the client to close its side.
         deadline: Micros,
     },
 }
 
-/// A connection from viewers.
+/// A viewer connection.
 pub struct Connection {
     pub line: Line,
     pub accepted_at: Micros,
     pub last_message_at: Micros,
-    /// Since when its client, for whom too much waits, has read nothing; until it has read some nothing more
-    /// is read from it.
+    /// Set while reading is paused because too much data waits to be read by the client.
     pub stalled: Option<Stall>,
-    /// Bytes read, as of the last look.
+    /// Total number of bytes read, as of the last [`Connection::record_read`].
     read_total: u64,
-    /// The part of a message that waits for the rest.
+    /// Set while the last message has not been received completely.
     pub partial: Option<PartialMessage>,
-    /// It is a viewer's: it brought a set-up, or sessions that play. What ends a session goes out on such
-    /// ones alone, for the front asks on others whether the director takes clients, and reads nothing else.
+    /// Whether it is known to be a viewer's: a set-up or a handed-over session was received on it. The end of
+    /// a session that was requested on another connection is sent only on such connections: the front end
+    /// uses its own for health checks and reads nothing else on them.
     pub is_viewer: bool,
-    /// Something was said on it, or it brought sessions that play.
+    /// Whether a message was sent on it, or a handed-over session was received, which needs no answer.
     pub answered: bool,
-    /// A session of it has stood.
+    /// Whether a session requested on it has been established.
     pub had_session: bool,
+    /// Unusable set-ups since the last one that was answered with an established session.
     pub unusable_set_ups: u32,
     pub state: ConnectionState,
-    /// It has ended or can't be written to, and is closed as soon as what came on it has been heard.
+    /// Whether the client closed it or it failed. It is closed once the messages received on it are
+    /// processed.
     pub broken: bool,
-    /// It was reset: what was written to it lately may never have been read.
+    /// Whether it was reset: the client may not have read what was written shortly before.
     pub reset: bool,
-    /// Sessions whose answers were written to it lately, oldest first.
+    /// Sessions whose success answers were queued recently, with the time, oldest first.
     recent_answers: VecDeque<(Micros, RequestId)>,
-    /// Messages that matter beyond this connection, each with the count of bytes at which it ends.
+    /// Messages that must not be lost with the connection, each with the total number of bytes queued up to
+    /// its end.
     unsent: VecDeque<(u64, UnsentMessage)>,
 }
 
 impl Connection {
-    /// A connection that was just taken.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(line: Line, now: Micros) -> Self {
         Connection {
             line,
@@ -136,7 +141,7 @@
         }
     }
 
-    /// Notes what a read has brought: bytes or none, whole messages among them or not.
+    /// Updates the receive times after a read. `has_messages` says whether it completed any message.
     pub fn record_read(&mut self, now: Micros, has_messages: bool) {
         let read_total = self.line.read_total();
         if std::mem::replace(&mut self.read_total, read_total) == read_total {
@@ -152,8 +157,9 @@
         }
     }
 
-    /// Whether it is to be closed if no request waits on it: its client has said nothing in its time, goes
-    /// no further with a message, or has had nothing on it for long.
+    /// Returns whether the connection is to be closed, provided that no request on it is pending: its client
+    /// has sent no first message in time, does not continue a partial message, or has sent no message for
+    /// long and has no session.
     pub fn is_overdue(&self, now: Micros, sessions: usize) -> bool {
         let elapsed = |since: Micros, timeout: Micros| since.saturating_add(timeout) <= now;
         match self.partial {
@@ -168,9 +174,9 @@
         }
     }
 
-    /// Whether it may be closed for another one if no request waits on it: it had its time to bring
-    /// something, what came on it in this turn has been answered, and its viewer is not in the middle of
-    /// reading or of bringing a message.
+    /// Returns whether the connection may be closed in favour of another one, provided that no request on it
+    /// is pending: it had time to send a request, no message was read from it in this turn, which might not
+    /// be processed yet, and its viewer is not in the middle of reading or of sending a message.
     pub fn is_evictable(&self, now: Micros) -> bool {
         let is_sending = self
             .partial
@@ -184,7 +190,7 @@
         past_grace && !is_reading && !self.broken && self.last_message_at < now
     }
 
-    /// Whether what comes on it is still taken as messages: behind what can't be read there are none.
+    /// Returns whether received data is still parsed. After malformed data no message boundary can be found.
     pub fn accepts_messages(&self) -> bool {
         match self.state {
             ConnectionState::Open => true,
@@ -193,12 +199,12 @@
         }
     }
 
-    /// Whether something can still be said on it.
+    /// Returns whether messages can still be sent on it.
     pub fn is_writable(&self) -> bool {
         !self.broken && !matches!(self.state, ConnectionState::HalfClosed { .. })
     }
 
-    /// Adds a message to what is to be written.
+    /// Queues a message for writing. `tracked` describes it if it must not be lost with the connection.
     pub fn queue(&mut self, bytes: &[u8], tracked: Option<UnsentMessage>) {
         self.answered = true;
         let written_total = self.line.written_total();
@@ -210,7 +216,7 @@
         self.unsent.extend(tracked.map(|message| (end, message)));
     }
 
-    /// Notes that the answer to a request is put on it.
+    /// Records that the success answer to a request was queued.
     pub fn record_answer(&mut self, now: Micros, id: RequestId) {
         while self
             .recent_answers
@@ -222,7 +228,7 @@
         self.recent_answers.push_back((now, id));
     }
 
-    /// Sessions whose answers a reset may have kept from being read.
+    /// Returns the sessions whose success answers may not have been read because of a reset.
     pub fn possibly_unread_answers(&self, now: Micros) -> Vec<RequestId> {
         let recent = self
             .recent_answers
@@ -231,7 +237,7 @@
         recent.map(|(_, id)| *id).collect()
     }
 
-    /// The messages that matter and have not left whole.
+    /// Returns the tracked messages that have not been written completely.
     pub fn into_unsent(self) -> impl Iterator<Item = UnsentMessage> {
         let written_total = self.line.written_total();
         self.unsent.into_iter().filter(move |(end, _)| *end > written_total).map(|(_, message)| message)
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -1,5 +1,7 @@
-//! The viewers' side: the listener and the connections that viewers' sessions come in on. A connection that
-//! says nothing, or nothing that can be answered, is closed; a full table makes room.
+//! Viewer connections: the listener and the connections on which viewers request sessions.
+//!
+//! A connection on which nothing is received, or nothing that can be answered, is closed. When the limit on
+//! connections is reached, an idle connection is evicted for a new one.
 mod closing;
 mod connection;
 mod sends;
@@ -19,15 +21,18 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 const LISTEN_BACKLOG: i32 = 1024;
-/// Connections taken in one turn at most, so that a crowd does not keep those that are up waiting.
+/// Maximum number of connections accepted per event-loop turn, so that a burst of new connections does not
+/// delay the established ones.
 const MAX_ACCEPTS_PER_TURN: usize = 128;
-/// Pause of the listener when no descriptor is left, or no connection can make room yet.
+/// Pause in accepting when no file descriptor is left or no connection can be evicted yet.
 const ACCEPT_PAUSE_US: Micros = 20_000;
-/// Connections that are looked at to make room for one, where messages keep coming on them.
+/// Maximum number of connections tried per eviction. A connection on which a message has arrived is not
+/// closed.
 const MAX_EVICTION_TRIES: usize = 16;
-/// Between further looks at a connection.
+/// Interval between checks of a connection, after the first one.
 const CHECK_INTERVAL_US: Micros = 500_000;
-/// Listens on an address.
+
+/// Opens a listening socket.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -36,21 +41,22 @@
     Ok(socket.into())
 }
 
-/// Listener and connections of the viewers.
+/// The listener and the viewer connections.
 pub struct Viewers {
-    /// None once the grace period is over.
+    /// `None` once the grace period at shutdown is over.
     listener: Option<Watched<TcpListener>>,
     connections: BTreeMap<Token, Connection>,
     max_connections: usize,
+    /// Ends of sessions that wait for a viewer connection to be sent on, with the time of queueing.
     queued_releases: VecDeque<(Micros, Vec<u8>)>,
-    /// Connections that are to be ended once nothing on them is open or unwritten.
+    /// Connections to be shut down once nothing on them is pending or unwritten.
     closing: BTreeSet<Token>,
-    /// No connections are taken any more.
+    /// Whether no more connections are accepted.
     stopped_accepting: bool,
 }
 
 impl Viewers {
-    /// Takes connections from a listener; holds so many at most.
+    /// Accepts connections from a listener, up to `max_connections` at a time.
     pub fn new(shared: &mut Shared, listener: TcpListener, max_connections: usize) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let listener = shared.poll.watch(listener, false)?;
@@ -64,17 +70,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     pub fn address(&self) -> io::Result<SocketAddr> {
         let listener = self.listener.as_ref().ok_or(io::ErrorKind::NotConnected)?;
         listener.source().local_addr()
     }
 
-    /// Takes the connections that wait. A full table makes room for them.
+    /// Accepts the waiting connections, evicting idle ones when the limit is reached.
     fn accept(&mut self, shared: &mut Shared, director: &Director) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if self.connections.len() >= self.max_connections && !self.evict_one(shared, director) {
-                return self.pause_accepting(shared); // the backlog keeps them
+                return self.pause_accepting(shared); // they wait in the backlog
             }
             let Some(listener) = &self.listener else { return };
             match listener.source().accept() {
@@ -87,7 +93,7 @@
                     if self.evict_one(shared, director) {
                         continue;
                     }
-                    warn!(shared.log, "no connection can be taken: {error}");
+                    warn!(shared.log, "cannot accept a viewer connection: {error}");
                     return self.pause_accepting(shared);
                 }
             }
@@ -98,7 +104,7 @@
         let line = match Line::accepted(&mut shared.poll, stream) {
             Ok(line) => line,
             Err(error) => {
-                return warn!(shared.log, "a connection from viewers could not be set up: {error}");
+                return warn!(shared.log, "cannot set up an accepted viewer connection: {error}");
             }
         };
         shared.counters.viewer_connections += 1;
@@ -107,8 +113,9 @@
         shared.wake(MESSAGE_TIMEOUT_US, Due::Viewer(token));
     }
 
-    /// Closes a connection on which no request waits, if it had its time to bring one: best one on which no
-    /// session ever stood, the longest unheard of first. What has come on it meanwhile is heard instead.
+    /// Closes one connection without a pending request that had time to send one, if there is any.
+    /// Connections that never had a session come first, then those whose last message is oldest. A connection
+    /// on which a message has arrived meanwhile is read instead of closed.
     fn evict_one(&mut self, shared: &mut Shared, director: &Director) -> bool {
         for _ in 0..MAX_EVICTION_TRIES {
             let candidates = self.connections.iter().filter(|(t, c)| {
@@ -125,8 +132,8 @@
         false
     }
 
-    /// Reads what has come on a connection that is about to be closed, and tells whether that was a message
-    /// or its end: then it is not closed from here.
+    /// Reads from a connection that is about to be closed. Returns whether a message or the end of input was
+    /// received; the caller then must not close it.
     fn read_before_close(&mut self, shared: &mut Shared, token: Token) -> bool {
         let heard_before = shared.heard.len();
         self.read_and_write(shared, Ready { token, readable: true, writable: false });
@@ -138,8 +145,7 @@
         self.close(shared, token, reason);
     }
 
-    /// Looks after a connection: closes one that has said nothing in its time, holds a message back, or has
-    /// had nothing on it for long.
+    /// Checks the timeouts of a connection, and closes it if one has expired.
     fn check_connection(&mut self, shared: &mut Shared, token: Token, director: &Director) {
         if self.close_stalled(shared, token) {
             return;
@@ -165,7 +171,8 @@
         shared.wake(CHECK_INTERVAL_US, Due::Viewer(token));
     }
 
-    /// Without a pause the waiting connections would wake the loop again at once.
+    /// Stops accepting for a short time. Without the pause the waiting connections would wake the event loop
+    /// again immediately.
     fn pause_accepting(&mut self, shared: &mut Shared) {
         let paused = self.listener.as_mut().is_some_and(|l| l.interest(false, false).is_ok());
         if paused {
@@ -173,12 +180,12 @@
         }
     }
 
-    /// Takes no further connections: they are another process's.
+    /// Stops accepting for good, because new connections belong to another process.
     pub fn stop_accepting(&mut self, shared: &Shared) {
         self.stopped_accepting = true;
         let Some(listener) = &mut self.listener else { return };
         if let Err(error) = listener.interest(false, false) {
-            warn!(shared.log, "the listener is still watched: {error}");
+            warn!(shared.log, "cannot stop polling the viewer listener: {error}");
         }
     }
 
@@ -186,14 +193,14 @@
         self.listener.as_ref().is_some_and(|listener| listener.token() == token)
     }
 
-    /// Connections that are held.
+    /// Returns the number of connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Sends viewers away: closes the connections on which no request is open and nothing is on its way,
-    /// where `all` is false only those without a session. What has come meanwhile is heard instead. A new one
-    /// has its time to bring its first message.
+    /// Closes the connections on which no request is pending and no data is unwritten; unless `all` is set,
+    /// only those without a session. A connection on which a message has arrived meanwhile is read instead of
+    /// closed. A new connection first has time to send its first message.
     pub fn close_idle_connections(&mut self, shared: &mut Shared, director: &Director, all: bool) {
         let if_idle = |(token, c): (&Token, &Connection)| {
             let past_grace =
@@ -213,25 +220,25 @@
         }
     }
 
-    /// Takes connections again after a pause.
+    /// Resumes accepting after a pause.
     fn resume_accepting(&mut self, shared: &mut Shared, director: &Director) {
         if self.stopped_accepting {
             return;
         }
         let Some(listener) = &mut self.listener else { return };
         if let Err(error) = listener.interest(true, false) {
-            warn!(shared.log, "the listener can't be watched: {error}");
+            warn!(shared.log, "cannot resume polling the viewer listener: {error}");
         }
         self.accept(shared, director);
     }
 
-    /// Reads and writes a connection that is ready; what came whole is heard, and behind it that its viewer
-    /// has closed it.
+    /// Reads from and writes to a connection that is ready. Complete messages are passed on, followed by a
+    /// notice if the viewer has closed the connection.
     fn read_and_write(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if writable && let Err(error) = connection.line.write() {
-            debug!(shared.log, "a connection from viewers broke: {error}");
-            (connection.broken, connection.reset) = (true, true); // what came on it before is still heard
+            debug!(shared.log, "viewer connection failed: {error}");
+            (connection.broken, connection.reset) = (true, true); // data received before is still processed
         }
         if !readable && !connection.broken {
             return self.resume_reading(shared, token);
@@ -255,12 +262,12 @@
         let broken = connection.broken;
         if let Some(error) = parse_error {
             shared.counters.malformed += 1;
-            debug!(shared.log, "malformed message from viewers, connection closed: {error}");
+            debug!(shared.log, "closing a viewer connection after a malformed message: {error}");
             connection.line.discard();
             self.begin_close(shared, token, CloseReason::Malformed);
         }
         if let Err(error) = &read_result {
-            debug!(shared.log, "a connection from viewers broke: {error}");
+            debug!(shared.log, "viewer connection failed: {error}");
         }
         shared.heard.extend(messages.into_iter().map(|message| Heard::Viewer(ViewerLink(token), message)));
         if broken {
@@ -270,7 +277,7 @@
         }
     }
 
-    /// Closes a connection that its viewer has closed.
+    /// Closes a connection that the viewer has closed.
     pub fn handle_peer_close(&mut self, shared: &mut Shared, token: Token) {
         self.close(shared, token, CloseReason::Gone);
     }
--- a/src/net/viewers/sends.rs
+++ b/src/net/viewers/sends.rs
@@ -1,5 +1,5 @@
-//! What goes out to viewers: final answers on their own connections, and the ends of sessions, which may go
-//! out on any connection or wait for the next one.
+//! Messages to viewers: final answers, which are sent on the connection of the request, and ends of sessions,
+//! which may be sent on any viewer connection or wait for the next one.
 use super::Viewers;
 use super::connection::{CloseReason, Connection, Stall, UnsentMessage};
 use crate::director::{Input, ViewerLink};
@@ -10,27 +10,28 @@
 use crate::platform::viewer;
 use slog::{debug, info, warn};
 
-/// From so many unwritten bytes on nothing more is taken from a connection.
+/// Number of unwritten bytes above which reading from a connection is paused.
 const MAX_UNWRITTEN_BYTES: usize = 128 * 1024;
-/// A client for whom more waits, and who has read nothing for so long, is closed.
+/// Time after which a connection is closed whose reading is paused and whose client has read nothing.
 const STALL_TIMEOUT_US: Micros = 1_000_000;
-/// Set-ups that can't be used after which a connection is closed; one that stands begins the count anew.
+/// Number of unusable set-ups after which a connection is closed. An established session resets the count.
 const MAX_UNUSABLE_SET_UPS: u32 = 32;
-/// How long a release waits for a connection from viewers to be sent on.
+/// Time for which a release waits for a viewer connection to be sent on.
 const QUEUED_RELEASE_TTL_US: Micros = 8_000_000;
-/// Releases that wait at most.
+/// Maximum number of releases that wait for a viewer connection.
 const MAX_QUEUED_RELEASES: usize = 20_000;
 
 impl Viewers {
-    /// A connection brought a session that plays already and wants no answer.
+    /// Records that a session that already plays was handed over on a connection; it gets no answer.
     pub fn record_handed_over_session(&mut self, link: ViewerLink) {
         if let Some(connection) = self.connections.get_mut(&link.0) {
             (connection.answered, connection.had_session, connection.is_viewer) = (true, true, true);
         }
     }
 
-    /// Sends the answer that a session stands. Where its connection is gone, or breaks before the answer has
-    /// left whole, the core is told so: the viewer will not end that session.
+    /// Sends the answer that a session is established. If its connection is gone, or fails before the answer
+    /// is written completely, [`Input::Undelivered`] tells the core, because the viewer will not end that
+    /// session.
     pub fn send_answer(&mut self, shared: &mut Shared, link: ViewerLink, id: RequestId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&link.0).filter(|c| c.is_writable()) else {
             return shared.inputs.push(Input::Undelivered(id));
@@ -41,31 +42,32 @@
         self.flush(shared, link.0);
     }
 
-    /// Answers a set-up that can't be used; a connection that goes on with them is closed.
+    /// Answers an unusable set-up. After too many of them the connection is closed.
     pub fn reject_unusable(&mut self, shared: &mut Shared, link: ViewerLink, id: RequestId) {
         self.send(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
         let Some(connection) = self.connections.get_mut(&link.0) else { return };
         connection.unusable_set_ups += 1;
         if connection.unusable_set_ups >= MAX_UNUSABLE_SET_UPS {
-            info!(shared.log, "nothing on a connection from viewers can be used, closed");
+            info!(shared.log, "closing a viewer connection after too many unusable set-ups");
             self.begin_close(shared, link.0, CloseReason::Unusable);
         }
     }
 
-    /// Sends a final answer, or another message that matters on its own connection alone.
+    /// Sends a final answer, or another message that is useless on other connections.
     pub fn send(&mut self, shared: &mut Shared, link: ViewerLink, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&link.0).filter(|c| c.is_writable()) else { return };
         connection.queue(bytes, None);
         self.flush(shared, link.0);
     }
 
-    /// Sends what ends a session: on its own connection, else on any, else on the next that comes. As long as
-    /// its own can be written to no other is used, on which it could overtake the answer.
+    /// Sends a release or a request to move, which ends a session: on the session's own connection, otherwise
+    /// on any viewer connection, otherwise on the next one. No other connection is used while the session's
+    /// own is writable, because the message could overtake the answer on it.
     pub fn send_release(&mut self, shared: &mut Shared, link: ViewerLink, bytes: Vec<u8>) {
         if self.send_release_on(shared, link.0, &bytes) {
             return;
         }
-        // Only on those that are known for viewers': one that has brought nothing yet may be the front's.
+        // Only connections known to be viewers': one on which nothing was received may be the front end's.
         let others = self.connections.iter().filter(|(_, c)| c.is_viewer && c.accepts_messages());
         let mut others: Vec<_> = others.map(|(t, c)| (c.had_session, c.last_message_at, *t)).collect();
         others.sort_unstable_by(|a, b| b.cmp(a));
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Sends what ends a session on one connection; false where that is of no use any more. Should the
-    /// connection break before the message has left whole, it is sent again on another.
+    /// Sends the end of a session on one connection. Returns false if the connection is not writable. If the
+    /// connection fails before the message is written completely, the message is sent again on another.
     fn send_release_on(&mut self, shared: &mut Shared, token: Token, bytes: &[u8]) -> bool {
         let Some(connection) = self.connections.get_mut(&token).filter(|c| c.is_writable()) else {
             return false;
@@ -88,28 +90,28 @@
         true
     }
 
-    /// Writes as much as the connection takes. One that broke is closed when what came on it has been heard;
-    /// from one whose client does not read, nothing more is taken until it does.
+    /// Writes as much as the socket accepts. A connection that failed is closed once the messages received on
+    /// it are processed. Reading is paused while the client does not read.
     fn flush(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         match connection.line.write() {
             Ok(_) if connection.line.unwritten() <= MAX_UNWRITTEN_BYTES => {}
             Ok(_) => self.pause_reading(shared, token),
             Err(error) => {
-                debug!(shared.log, "a connection from viewers broke: {error}");
+                debug!(shared.log, "viewer connection failed: {error}");
                 connection.reset = true;
                 self.mark_broken(shared, token);
             }
         }
     }
 
-    /// Takes nothing more from a client for whom too much waits.
+    /// Pauses reading from a connection with too much unwritten data.
     fn pause_reading(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token).filter(|c| c.stalled.is_none()) else {
             return;
         };
         shared.counters.overfull += 1;
-        warn!(shared.log, "viewers do not read, nothing is taken from their connection";
+        warn!(shared.log, "viewer connection stalled; reading from it is paused";
             "connection" => token);
         connection.stalled =
             Some(Stall { since: shared.now, written_total: connection.line.written_total() });
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Takes messages again from a client that has read what waited for it.
+    /// Resumes reading once the client has read enough of the pending data.
     pub(super) fn resume_reading(&mut self, shared: &mut Shared, token: Token) {
         let may_resume = |c: &Connection| c.stalled.is_some() && c.line.unwritten() <= MAX_UNWRITTEN_BYTES;
         let Some(connection) = self.connections.get_mut(&token).filter(|c| may_resume(c)) else { return };
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Closes a connection whose client has read nothing for long; tells whether it did.
+    /// Closes a stalled connection whose client has read nothing for [`STALL_TIMEOUT_US`]. Returns whether it
+    /// did.
     pub(super) fn close_stalled(&mut self, shared: &mut Shared, token: Token) -> bool {
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let Some(stall) = &mut connection.stalled else { return false };
@@ -138,29 +141,31 @@
         }
         let timed_out = stall.since.saturating_add(STALL_TIMEOUT_US) <= shared.now;
         if timed_out {
-            warn!(shared.log, "viewers have read nothing for long, connection closed"; "connection" => token);
+            warn!(shared.log, "closing a viewer connection whose client has stopped reading";
+                "connection" => token);
             self.mark_broken(shared, token);
         }
         timed_out
     }
 
-    /// A connection that is of no use any more is closed when what came on it has been heard.
+    /// Marks a connection as failed and reads from it. It is closed once the messages received on it are
+    /// processed.
     fn mark_broken(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.broken = true;
         self.read_and_write(shared, Ready { token, readable: true, writable: false });
     }
 
-    /// Whether something is still to be written.
+    /// Returns whether a connection that has not failed has unwritten data.
     pub fn has_pending_writes(&self) -> bool {
         self.connections.values().any(|c| !c.broken && c.line.unwritten() > 0)
     }
 
-    /// Forgets a connection: requests that wait on it are over, and what had not left it whole is told to the
-    /// core or sent elsewhere.
+    /// Removes a connection. Its pending requests end, undelivered answers are reported to the core, and
+    /// releases that were not written completely are sent on another connection.
     pub(super) fn close(&mut self, shared: &mut Shared, token: Token, reason: CloseReason) {
         let Some(connection) = self.connections.remove(&token) else { return };
-        debug!(shared.log, "a connection from viewers is closed"; "connection" => token,
+        debug!(shared.log, "viewer connection closed"; "connection" => token,
             "why" => ?reason, "unwritten" => connection.line.unwritten());
         shared.inputs.push(Input::LinkLost(ViewerLink(token)));
         let unread = connection.possibly_unread_answers(shared.now);
@@ -170,16 +175,17 @@
                 UnsentMessage::Release(bytes) => self.send_release(shared, ViewerLink(token), bytes),
             }
         }
-        // Those that never left are over by then.
+        // After the undelivered ones: their sessions have ended by the time these inputs are processed.
         shared.inputs.extend(unread.into_iter().map(Input::Unread));
     }
 
+    /// Sends the queued releases, except for those that have waited too long.
     pub(super) fn send_queued_releases(&mut self, shared: &mut Shared) {
         for (queued_at, bytes) in std::mem::take(&mut self.queued_releases) {
             if queued_at.saturating_add(QUEUED_RELEASE_TTL_US) > shared.now {
                 self.send_release(shared, ViewerLink(0), bytes);
             } else {
-                warn!(shared.log, "a release came to no client in its time";
+                warn!(shared.log, "release dropped: no viewer connection within its time limit";
                     "session" => viewer::session_hex(&bytes));
             }
         }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -214,7 +214,7 @@
         streamer.write_all(&stands(sent_count, &long_description)).expect("written");
         until("the request is answered", || rig.figure("served") == sent_count);
     }
-    next_line(&mut rig.log, "viewers do not read");
+    next_line(&mut rig.log, "viewer connection stalled");
     let request = read_rtsp(streamer.as_mut().expect("connected"));
     assert!(request.starts_with("TEARDOWN"), "{request}");
     until("all sessions with undelivered answers are released", || rig.figure("undelivered") > 1);
