--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -1,4 +1,7 @@
-//! The viewers' binary messages: `length:2 type:1 session:8 parameters`, big-endian.
+//! Codec of the binary messages between viewers and the director.
+//!
+//! A message is `length:2 type:1 session:8 parameters`, a parameter `code:1 length:2 value`. Numbers are
+//! big-endian. The length of a message does not include the length field itself.
 use super::MESSAGE_MAX;
 use crate::interface::RequestId;
 
@@ -11,7 +14,7 @@
 const TEST: u8 = 52;
 const TEST_RESULT: u8 = 53;
 
-/// The longest name of a class or title.
+/// Maximum length of a class or title name, in bytes.
 const MAX_NAME_LENGTH: usize = 128;
 
 const PARAM_CLASS: u8 = 16;
@@ -23,82 +26,82 @@
 const PARAM_CAUSE: u8 = 58;
 const PARAM_DESCRIPTION: u8 = 61;
 
-/// Cause of a release after a session's proper end.
+/// Cause in a release of a session that ran to completion.
 pub const CAUSE_ENDED: u8 = 16;
-/// Cause of a refusal: trying again is harmless.
+/// Cause in a refusal. A retry is harmless.
 pub const CAUSE_REFUSED: u8 = 42;
-/// Cause of a failure, and of a release after a session was cut.
+/// Cause in a failure answer, and in a release of a session that was cut off.
 pub const CAUSE_FAILED: u8 = 41;
 
-/// What a viewer can get wrong. A length that can't be ends its connection, since no later message can be
-/// found behind it; anything else is answered.
+/// Why a message from a viewer is invalid. After an invalid length the connection is closed, because the next
+/// message boundary cannot be found; all other errors are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ViewerError {
-    /// The length is under that of the fixed part, or over the limit.
+    /// The length is less than that of the fixed part, or exceeds [`MESSAGE_MAX`].
     #[error("message length {0} is out of bounds")]
     Length(usize),
-    /// Of a type that viewers don't send.
-    #[error("type {0} is no viewer's message")]
+    /// Viewers do not send messages of this type.
+    #[error("message type {0} is unknown")]
     UnknownType(u8),
-    /// It has no number.
-    #[error("a set-up without a number")]
+    /// The session id is zero.
+    #[error("set-up has no session id")]
     MissingSession,
-    /// A parameter does not fit into its message.
-    #[error("a parameter runs past the end of its message")]
+    /// A parameter extends past the end of the message.
+    #[error("a parameter extends past the end of the message")]
     TruncatedParameter,
-    /// A text parameter is no text.
-    #[error("parameter {0} is not text")]
+    /// A text parameter is not valid UTF-8.
+    #[error("parameter {0} is not valid UTF-8")]
     NotUtf8(u8),
-    /// A set-up lacks a parameter that it must have, or one can't be read.
-    #[error("a set-up's parameter {0} is missing or can't be read")]
+    /// A required parameter of a set-up is missing, or a parameter of a set-up is invalid.
+    #[error("parameter {0} of a set-up is missing or invalid")]
     SetUpParameter(u8),
 }
 
-/// A set-up as a viewer asks for it.
+/// A viewer's request for a session.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SetUp {
-    /// The session's id, never used twice.
+    /// Session id. Ids are never reused.
     pub session: u64,
-    /// The class.
+    /// Class name.
     pub class: String,
-    /// How long the viewer waits, in milliseconds.
+    /// Time for which the viewer waits for the answer, in milliseconds.
     pub wait_ms: Option<u64>,
-    /// It is marked as a retry.
+    /// Whether the viewer marked the request as a retry.
     pub retry: bool,
-    /// The title.
+    /// Title name.
     pub title: String,
-    /// First cell that holds the title.
+    /// First cell that holds the title; `home` on the wire.
     pub start_cell: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that hold the title; `copies` on the wire.
     pub cells_in_row: u32,
-    /// The viewer's best rung.
+    /// Highest rung that the viewer can play; `top` on the wire.
     pub max_rung: Option<usize>,
-    /// Who watches.
+    /// Viewer id.
     pub viewer: String,
-    /// The viewer comes again.
+    /// Whether the viewer requests a session again after an earlier one; `again` on the wire.
     pub returning: bool,
-    /// The streamer at which the session plays already.
+    /// Id of the streamer at which the session already plays, if it is handed over; `at` on the wire.
     pub playing_at: Option<String>,
-    /// The description, passed on unread.
+    /// Session description, forwarded without being interpreted.
     pub description: Vec<u8>,
 }
 
-/// A message from viewers.
+/// A message from a viewer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewerMessage {
-    /// A session is wanted.
+    /// A request for a session.
     SetUp(Box<SetUp>),
-    /// The set-up is given up, or the session ended.
+    /// The viewer cancels its set-up or ends its session.
     Release(RequestId),
-    /// A test; carries the id to answer with.
+    /// A health check of the front end. The answer carries the same id.
     Test(RequestId),
-    /// A set-up that can't be used, or a message of no known type; it is answered under its number.
+    /// An invalid set-up, or a message of an unknown type. The answer carries the same id.
     Unusable(RequestId, ViewerError),
-    /// Means nothing to a director.
+    /// A message that a director ignores.
     Ignored,
 }
 
-/// Reads one message; `None` where it is not whole yet. Also tells how many bytes it took.
+/// Parses the first message in `bytes`. Returns it with its encoded length, or `None` if it is incomplete.
 pub fn read(bytes: &[u8]) -> Result<Option<(ViewerMessage, usize)>, ViewerError> {
     let [high, low, rest @ ..] = bytes else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes([*high, *low]));
@@ -159,7 +162,7 @@
     if set_up.wait_ms == Some(0) {
         return Err(ViewerError::SetUpParameter(PARAM_WAIT));
     }
-    // Both travel on in the lines of a text protocol, the title in an address.
+    // Both names are forwarded in the lines of a text protocol, the title in a URL.
     let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
     for (code, text) in [(PARAM_CLASS, &set_up.class), (PARAM_TITLE, &set_up.title)] {
         if !(1..=MAX_NAME_LENGTH).contains(&text.len()) || !text.bytes().all(is_unreserved) {
@@ -169,7 +172,7 @@
     Ok(set_up)
 }
 
-/// Takes the figures; tells whether all that a set-up must have are there.
+/// Parses the `key:value` pairs of the attributes parameter. Returns whether all required ones are present.
 fn parse_attributes(set_up: &mut SetUp, text: &str) -> Result<bool, ViewerError> {
     let (mut has_start_cell, mut has_cells) = (false, false);
     for pair in text.split(';') {
@@ -202,34 +205,35 @@
     out
 }
 
-/// The session stands. `None` where the description is too long to be passed on in one message.
+/// Encodes the answer that a session is established. Returns `None` if the description does not fit into one
+/// message.
 pub fn answer(session: RequestId, description: &[u8]) -> Option<Vec<u8>> {
     let fits = description.len() + 12 <= MESSAGE_MAX;
     fits.then(|| encode(ANSWER, session, &[(PARAM_DESCRIPTION, description)]))
 }
 
-/// Refused; the viewer should stay away for so many milliseconds.
+/// Encodes a refusal. The viewer should not retry for `retry_after_ms` milliseconds.
 pub fn refusal(session: RequestId, retry_after_ms: u64) -> Vec<u8> {
     let retry_after = retry_after_ms.to_string();
     encode(RELEASE, session, &[(PARAM_CAUSE, &[CAUSE_REFUSED]), (PARAM_RETRY_AFTER, retry_after.as_bytes())])
 }
 
-/// The session that a written message is for, in hexadecimal.
+/// Returns the session id of an encoded message, in hexadecimal.
 pub fn session_hex(message: &[u8]) -> String {
     message.get(3..11).unwrap_or_default().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Released: failed before the answer, over after it.
+/// Encodes a release: the request failed if it has not been answered, otherwise the session ended.
 pub fn release(session: RequestId, cause: u8) -> Vec<u8> {
     encode(RELEASE, session, &[(PARAM_CAUSE, &[cause])])
 }
 
-/// The session is moved: the viewer is to come again.
+/// Encodes the instruction to move: the viewer is to request the session again.
 pub fn move_off(session: RequestId) -> Vec<u8> {
     encode(MOVE, session, &[])
 }
 
-/// A test's result.
+/// Encodes the result of a health check.
 pub fn test_result(session: RequestId, passed: bool) -> Vec<u8> {
     encode(TEST_RESULT, session, &[(PARAM_CAUSE, &[u8::from(passed)])])
 }
