--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -9,7 +9,7 @@
 const PROGRESS: u8 = 6;
 const ANSWER: u8 = 9;
 const RELEASE: u8 = 12;
-const RELEASE_COMPLETE: u8 = 16;
+const RELEASE_ACK: u8 = 16;
 const MOVE: u8 = 51;
 const TEST: u8 = 52;
 const TEST_RESULT: u8 = 53;
@@ -118,7 +118,7 @@
         },
         RELEASE => ViewerMessage::Release(RequestId(session)),
         TEST => ViewerMessage::Test(RequestId(session)),
-        PROGRESS | RELEASE_COMPLETE => ViewerMessage::Ignored,
+        PROGRESS | RELEASE_ACK => ViewerMessage::Ignored,
         other => ViewerMessage::Unusable(RequestId(session), ViewerError::UnknownType(other)),
     };
     Ok(Some((message, 2 + length)))
