--- a/tests/load.rs
+++ b/tests/load.rs
@@ -1,10 +1,10 @@
-//! What reports and notes say of links and uplinks, and what they do not.
+//! What load reports and status notes tell the decision module about links and uplinks, and what they do not.
 mod common;
 use common::*;
 use stonewharf::*;
 
-/// Reports made before the sessions of a handover were there told of empty links: the rack that was asked first
-/// was flooded in the first two seconds and delivered short.
+/// Load reports from before a handover showed empty links, because its sessions were not there yet. The rack
+/// that was probed first was overloaded within two seconds, and its sessions got less than their rate.
 #[test]
 fn a_load_report_older_than_a_handover_is_ignored() {
     let mut harness = harness_with_session(settings_of_controller(0, 2), 3.0);
@@ -19,11 +19,12 @@
             .filter(|id| sent_to(&harness.request_session(request(now + 10 + id, 0))) == Some(StreamerId(0)))
             .count()
     };
-    assert_eq!(sessions_sent_to_it(30 * S), 0, "it is the fullest by own account");
+    assert_eq!(sessions_sent_to_it(30 * S), 0, "it has the highest load by the own session counts");
 }
 
-/// One streamer that stalled with its link clear was taken for a short uplink: the account of its rack went to
-/// 15, its healthy neighbours' sessions were stepped to the floor, and nothing was sent to any for 12 s.
+/// A streamer that stalled although its link was not full was taken for an overloaded uplink: the estimated
+/// load of its rack rose to 15, the sessions at healthy streamers of the rack were stepped down to the lowest
+/// rung, and none of these streamers was used for 12 s.
 #[test]
 fn a_stalled_streamer_does_not_mark_its_uplink_as_overloaded() {
     let mut harness = Harness::new(settings(idempotent_classes()));
@@ -46,17 +47,19 @@
         |id: &RequestId| actions.iter().any(|a| matches!(a, Action::Rate { request, .. } if request == id));
     assert!(!other_sessions.is_empty() && !other_sessions.iter().any(has_step), "{actions:?}");
     let next = sent_to(&harness.request_session(Request { left_us: S / 2, ..request(20, 0) }));
-    assert!(next.is_some_and(|next| next != at), "the others are used, the stalled one is not: {next:?}");
+    assert!(next.is_some_and(|next| next != at), "another streamer is used: {next:?}");
 }
 
-/// Notes of short delivery were put down to each streamer's link although its whole rack got the same share: its
-/// neighbours, behind the same short uplink, were taken for free. Once whole again it was held full for long.
+/// Notes of incomplete delivery counted against each streamer's link although all streamers of the rack got
+/// the same share: other streamers behind the same overloaded uplink were taken to be free. After delivery
+/// was complete again, the uplink was considered full for long.
 #[test]
 fn short_delivery_at_several_streamers_of_a_rack_counts_against_its_uplink() {
     let mut harness = Harness::new(Settings { racks: 2, rack_kb: 6_000.0, ..settings(idempotent_classes()) });
     harness
         .handle(Event::List { scope: ListScope::Full, entries: (0..8).map(|i| entry(i, i % 4)).collect() });
-    // Streamers with an even number are in one rack; 0 and 2 hold a session each, the others' rack many.
+    // Streamers with an even number are in one rack, of which 0 and 2 have one session each. The rack of the
+    // others has more.
     for (id, at) in [(1, 0), (2, 2), (3, 1), (4, 3), (5, 5), (6, 7), (7, 1), (8, 3)] {
         harness.handle(Event::Preexisting(request(id, 0), StreamerId(at)));
         harness.report_note(id, StreamerId(at), NoteKind::Rung, f64::from(at % 2 * 2));
@@ -64,14 +67,14 @@
     harness.now += 2 * S;
     let rack_of_request =
         |harness: &mut Harness, id: u64| sent_to(&harness.request_session(request(id, 0))).map(|at| at.0 % 2);
-    assert_eq!(rack_of_request(&mut harness, 20), Some(0), "the emptier one");
+    assert_eq!(rack_of_request(&mut harness, 20), Some(0), "the rack with the lower load");
     [(1, 0), (2, 2)]
         .iter()
         .for_each(|(id, at)| drop(harness.report_note(*id, StreamerId(*at), NoteKind::Delivered, 0.8)));
-    assert_eq!(rack_of_request(&mut harness, 21), Some(1), "its free streamers are behind the same uplink");
+    assert_eq!(rack_of_request(&mut harness, 21), Some(1), "its unused streamers are behind the same uplink");
     harness.now += 2 * S;
     [(1, 0), (2, 2)]
         .iter()
         .for_each(|(id, at)| drop(harness.report_note(*id, StreamerId(*at), NoteKind::Delivered, 1.0)));
-    assert_eq!(rack_of_request(&mut harness, 22), Some(0), "whole again: what was told before is forgotten");
+    assert_eq!(rack_of_request(&mut harness, 22), Some(0), "complete delivery clears the earlier notes");
 }
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -1,9 +1,10 @@
-//! Failures found at size: many controllers, each alone with its own events.
+//! Failures that appear with many controllers, each of which sees only its own events.
 mod common;
 use common::*;
 use stonewharf::*;
 
-/// Steps of 200 controllers, each with one session at `rung`, that all hear the same notes, then sweep.
+/// Number of rung changes by 200 controllers, each with one session at `rung`, that all receive the same
+/// notes and then run their periodic timer `sweeps` times.
 fn steps_together(rung: f64, notes: &[(NoteKind, f64)], sweeps: usize) -> usize {
     let steps_of = |index| {
         let mut harness = harness_with_session(settings_of_controller(index, 200), rung);
@@ -18,17 +19,21 @@
 #[test]
 fn many_controllers_together_step_down_by_about_the_excess() {
     let steps = steps_together(2.0, &[(NoteKind::LinkUse, 1.1)], 4);
-    assert!(steps > 5 && steps < 120, "each takes its part of the excess, once a report: {steps} of 200");
+    assert!(
+        steps > 5 && steps < 120,
+        "each corrects its part of the excess, once for each report: {steps} of 200"
+    );
 }
 
 #[test]
 fn many_controllers_together_step_up_although_each_share_is_less_than_a_step() {
     let steps = steps_together(1.0, &[(NoteKind::LinkUse, 0.5), (NoteKind::UplinkUse, 0.6)], 1);
-    assert!(steps > 5 && steps < 150, "some step up, not all: {steps} of 200");
+    assert!(steps > 5 && steps < 150, "some step up, but not all: {steps} of 200");
 }
 
-/// Controllers that ask for loads make up for those that don't; where none asks, ten times each part was ten
-/// times too much: in the first second after a handover hundreds of sessions went up, and racks ran short.
+/// Controllers that probe for load step up by ten times their share, to make up for those that do not. Where
+/// no controller probed, this was ten times too much: hundreds of sessions stepped up within the first second
+/// after a handover, and racks were overloaded.
 #[test]
 fn controllers_that_do_not_probe_step_up_only_by_their_own_share() {
     let step_ups = |probe_price: f64| -> usize {
@@ -46,12 +51,13 @@
     let (with_probes, without_probes) = (step_ups(0.01), step_ups(0.08));
     assert!(
         without_probes * 2 < with_probes && without_probes > 5,
-        "{without_probes} of 200 go up, {with_probes} where loads are asked for"
+        "{without_probes} of 200 step up, {with_probes} with probes"
     );
 }
 
-/// Own sessions times a hundred are off by a quarter at some twenty: controllers that saw too few by chance stepped
-/// up on racks that were full, while the others, by the same counts, step nothing down.
+/// A load estimate of own sessions times one hundred controllers is wrong by a quarter at about twenty
+/// sessions. Controllers that had too few sessions by chance stepped up on full racks, and nothing
+/// compensated for it, since the others step nothing down by such an estimate.
 #[test]
 fn an_estimate_from_few_sessions_steps_up_only_with_its_spread_as_margin() {
     let step_up = |sessions: u64| {
@@ -72,8 +78,8 @@
         harness.now = 50 * S;
         (0..40).map(|_| rate_changes(&harness.fire_timer_after(250_000))).sum::<usize>()
     };
-    assert_eq!(step_up(9), 0, "0.7 by nine sessions may be 0.93");
-    assert!(step_up(400) > 0, "0.7 by 400 is under 0.74");
+    assert_eq!(step_up(9), 0, "an estimate of 0.7 from nine sessions may be 0.93");
+    assert!(step_up(400) > 0, "an estimate of 0.7 from 400 sessions is below 0.74");
 }
 
 #[test]
@@ -82,7 +88,7 @@
     assert_eq!(
         rate_changes(&harness.fire_timer_after(250_000)),
         0,
-        "50 times own use is over the link, but nobody reported it"
+        "50 times the own load exceeds the link, but no report says so"
     );
 }
 
@@ -92,20 +98,24 @@
     let mut harness = Harness::new(set);
     let out = harness.request_session(request(1, 0));
     let probed = out.iter().find_map(|a| if let Action::Probe(at) = a { Some(*at) } else { None });
-    let full = probed.expect("asks before it sends");
+    let full = probed.expect("probes before it sends");
     assert!(sent_to(&out).is_none() && !refused(&out));
     let report = LoadReport { link: Some(1.0), ..LoadReport::default() };
     let out = harness.handle(Event::Probed { streamer: full, outcome: Outcome::Ok, report });
-    assert!(sent_to(&out).is_some_and(|at| at != full), "decides by the answer, at once: {out:?}");
+    assert!(
+        sent_to(&out).is_some_and(|at| at != full),
+        "decides at once, by the result of the probe: {out:?}"
+    );
     harness.report_started(1, sent_to(&out).expect("sent"));
-    assert!(sent_to(&harness.request_session(request(2, 0))).is_none(), "asks again");
-    // Two are asked at most, and neither holds it for more than half a second.
+    assert!(sent_to(&harness.request_session(request(2, 0))).is_none(), "probes again");
+    // At most two streamers are probed, and each probe delays the request by at most half a second.
     let sends = (0..5).filter(|_| sent_to(&harness.fire_timer_after(250_000)).is_some()).count();
-    assert_eq!(sends, 1, "a probe that never came back does not hold it");
+    assert_eq!(sends, 1, "a lost probe does not block the request");
 }
 
 /// A hundred controllers spread their few sessions over all streamers and opened a new connection for nearly
-/// each; own sessions on a link were taken for a sign of others there, which drove them further apart.
+/// every session. Own sessions on a link were taken as evidence of other controllers' sessions there, which
+/// spread them even more.
 #[test]
 fn with_costly_handshakes_each_controller_uses_few_streamers() {
     let used = |handshake_price: f64| {
@@ -132,12 +142,16 @@
         (used.len(), streamers)
     };
     let (free, priced) = (used(0.0), used(0.08));
-    assert!(priced.0 * 2 < free.0, "connections {priced:?}, {free:?} where they cost nothing");
-    assert!(priced.1 >= 15, "they do not herd: {} of 20 streamers are used", priced.1);
+    assert!(
+        priced.0 * 2 < free.0,
+        "connections and streamers: {priced:?}, {free:?} where connections cost nothing"
+    );
+    assert!(priced.1 >= 15, "the controllers choose different streamers: {} of 20 are used", priced.1);
 }
 
-/// A hundredth of the fleet's sessions tells its load to within some 40 in 100: a controller with a few more than
-/// its part took a half empty fleet for full and refused, while nobody had told it of any link.
+/// One hundredth of the fleet's sessions gives its load to within about 40 %. A controller with a few
+/// sessions more than its share took a half-empty fleet for full and refused requests, although no report had
+/// said that any link was full.
 #[test]
 fn in_probe_only_mode_a_few_extra_sessions_cause_no_refusal() {
     let is_refused = |report_mode| {
@@ -150,7 +164,7 @@
         harness.now = S;
         refused(&harness.request_session(request(9, 0)))
     };
-    assert!(is_refused(ReportMode::InAnswers), "own sessions times a hundred fill all links");
+    assert!(is_refused(ReportMode::InAnswers), "the own sessions times one hundred fill all links");
     assert!(!is_refused(ReportMode::ProbeOnly));
 }
 
@@ -164,7 +178,10 @@
         digits.parse().unwrap()
     };
     let (fleet, parts) = (slots(0, 1), (0..300).map(|index| slots(index, 300)).sum::<usize>());
-    assert!(fleet > 20 && parts.abs_diff(fleet) * 2 < fleet, "{parts} in 300 parts of {fleet}");
+    assert!(
+        fleet > 20 && parts.abs_diff(fleet) * 2 < fleet,
+        "300 controllers have {parts} slots in total, one alone {fleet}"
+    );
 }
 
 #[test]
@@ -186,7 +203,7 @@
             .find_map(|a| if let Action::Rate { rung, .. } = a { Some(*rung) } else { None })
             .unwrap_or(0)
     };
-    assert!(start(1) > start(0), "rates in proportion to worth: {} and {}", start(1), start(0));
+    assert!(start(1) > start(0), "rates are proportional to worth: {} and {}", start(1), start(0));
 }
 
 #[test]
@@ -211,5 +228,5 @@
             first = Some(request.0);
         }
     }
-    assert!(first.is_some_and(|id| id > 2), "the one past its share first: {first:?}");
+    assert!(first.is_some_and(|id| id > 2), "a session of the tenant over its quota is first: {first:?}");
 }
--- a/tests/request_ends.rs
+++ b/tests/request_ends.rs
@@ -1,5 +1,6 @@
-//! Connections that the director closes while something on them is not over: behind what can't be read or used, with
-//! a client that reads slowly, or with half a request; and releases that overtake their answers.
+//! Requests that are pending when the director closes their connection: after malformed or unusable messages,
+//! with a client that reads slowly, or with a partly received request. Also releases that arrive before their
+//! answers or are lost.
 mod common;
 mod rig;
 use rig::*;
@@ -7,14 +8,18 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// By then a connection that has said nothing whole is closed.
+/// Time after which a connection is closed on which no complete message was received.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A session that is over at its streamer is released to its client within this.
+/// Time limit for reporting the end of a session at its streamer to its client.
 const RELEASE_TIME_LIMIT: Duration = Duration::from_secs(1);
 
 fn expect_end_of_stream(viewer: &mut TcpStream) {
-    assert_eq!(viewer.read(&mut [0; 64]).unwrap_or(0), 0, "ended, and nothing more said");
+    assert_eq!(
+        viewer.read(&mut [0; 64]).unwrap_or(0),
+        0,
+        "the connection is closed, and no more data was sent"
+    );
 }
 
 #[test]
@@ -25,19 +30,20 @@
     viewer.write_all(&[&set_up(0x201, "replay")[..], &malformed].concat()).expect("written");
     let mut streamer = rig.streamer();
     assert!(read_rtsp(&mut streamer).starts_with("SETUP"));
-    std::thread::sleep(Duration::from_millis(50)); // many turns later
+    std::thread::sleep(Duration::from_millis(50)); // many turns of the event loop
     streamer.write_all(&stands(0x201, "answer")).expect("written");
     assert_eq!(hear(&mut viewer).0, 9, "served");
     expect_end_of_stream(&mut viewer);
 }
 
-/// The session was over as soon as it stood, and its release went out on another connection than its answer.
+/// A session ended as soon as it was established, and its release was sent on another connection than its
+/// answer.
 #[test]
 fn a_release_right_after_its_answer_uses_the_same_closing_connection() {
     let rig = Rig::start();
     let mut other = rig.viewer();
     other.write_all(&set_up(0x20f, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut other).1, 0x20f, "it could be told, too");
+    assert_eq!(hear(&mut other).1, 0x20f, "the release could be sent on this connection, too");
     let mut viewer = rig.viewer();
     let malformed = [0, 3, 1, 2, 3];
     viewer.write_all(&[&set_up(0x202, "replay")[..], &malformed].concat()).expect("written");
@@ -71,7 +77,8 @@
     }
 }
 
-/// Answers pile up at the director, beyond what it keeps for a client that does not read, while a request is open.
+/// While a request is pending, unwritten answers accumulate at the director beyond the limit for a client
+/// that does not read.
 #[test]
 fn a_pending_request_of_a_slow_reader_is_answered() {
     let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
@@ -91,12 +98,12 @@
     until("all others are answered", || rig.figure("served") == served + further_requests);
     streamer.write_all(&stands(pending_id, "answer")).expect("written");
     for _ in 0..answers + further_requests {
-        assert_eq!(hear(&mut viewer).0, 9, "whole");
+        assert_eq!(hear(&mut viewer).0, 9, "complete");
     }
-    assert_eq!(hear(&mut viewer).0, 9, "the last one, too");
+    assert_eq!(hear(&mut viewer).0, 9, "the last answer is complete, too");
 }
 
-/// The second half of a request comes after the time in which a new connection has to have said something.
+/// The second part of a request arrives after the time limit for the first message on a new connection.
 #[test]
 fn a_partial_request_extends_the_first_message_timeout() {
     let rig = Rig::start();
@@ -105,27 +112,28 @@
     std::thread::sleep(FIRST_MESSAGE_TIMEOUT - Duration::from_millis(300));
     viewer.write_all(&request[..30]).expect("written");
     std::thread::sleep(Duration::from_millis(600));
-    viewer.write_all(&request[30..]).expect("the connection stays");
+    viewer.write_all(&request[30..]).expect("the connection stays open");
     assert_eq!(hear(&mut viewer), (12, 0x221, vec![58, 0, 1, 41]));
 }
 
-/// A full table: a connection in the middle of bringing a request is not the one that is closed.
+/// At the limit on connections, a connection with a partly received request must not be the one that is
+/// evicted.
 #[test]
 fn a_connection_with_a_partial_request_is_not_evicted() {
     let rig = Rig::with_door();
     let mut partial = rig.viewer();
     let request = set_up(0x231, "nobody's");
     partial.write_all(&request[..30]).expect("written");
-    std::thread::sleep(Duration::from_millis(200)); // longest unheard of, and past its first time
+    std::thread::sleep(Duration::from_millis(200)); // it is the oldest, past its grace period
     let new_connections: Vec<TcpStream> = (0..200).map(|_| rig.viewer()).collect();
-    until("some made room", || rig.figure("viewers_shed") > 20);
-    partial.write_all(&request[30..]).expect("the connection stays");
+    until("some connections are evicted", || rig.figure("viewers_shed") > 20);
+    partial.write_all(&request[30..]).expect("the connection stays open");
     assert_eq!(hear(&mut partial), (12, 0x231, vec![58, 0, 1, 41]));
     drop(new_connections);
 }
 
-/// A session's release came on another connection, ahead of the answer that it stands, and was dropped: the client
-/// was told that it stands and never that it is over.
+/// A release arrived on another connection before the answer that its session is established, and was
+/// discarded: the client received the answer and never the end of the session.
 #[test]
 fn a_release_received_before_its_answer_is_sent_after_it() {
     let one_set_up_per_connection = common::SETTINGS_JSON.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
@@ -139,17 +147,17 @@
     read_rtsp(&mut second);
     second.write_all(&over(0x241)).expect("written");
     second.write_all(&stands(0x242, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).1, 0x242, "the release was heard before this");
+    assert_eq!(hear(&mut viewer).1, 0x242, "the release was processed before this");
     first.write_all(&stands(0x241, "answer")).expect("written");
     let (kind, id, _) = hear(&mut viewer);
     assert_eq!((kind, id), (9, 0x241));
     viewer.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
     let (kind, id, parameters) = hear(&mut viewer);
-    assert_eq!((kind, id, parameters), (12, 0x241, vec![58, 0, 1, 16]), "and its end");
+    assert_eq!((kind, id, parameters), (12, 0x241, vec![58, 0, 1, 16]), "then its end");
 }
 
-/// A release was lost with the connection that brought something unreadable. Streamers say it again on the next one
-/// that is opened; none was, since another one was open.
+/// A release was lost with a streamer connection that was closed after malformed data. Streamers repeat it on
+/// the next connection that is opened to them, but none was opened because another one was still open.
 #[test]
 fn a_release_lost_to_malformed_data_is_received_on_a_new_connection() {
     let one_set_up_per_connection = common::SETTINGS_JSON.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
@@ -166,13 +174,14 @@
     first.write_all(&[b"SPOILT\r\n\r\n".to_vec(), over(0x251)].concat()).expect("written");
     let failed_at = Instant::now();
     let mut third = rig.streamer();
-    assert!(failed_at.elapsed() < RELEASE_TIME_LIMIT, "begun within the time of a release");
+    assert!(failed_at.elapsed() < RELEASE_TIME_LIMIT, "connected within the time limit of a release");
     third.write_all(&over(0x251)).expect("written");
     let (kind, id, parameters) = hear(&mut viewer);
     assert_eq!((kind, id, parameters), (12, 0x251, vec![58, 0, 1, 16]), "its end");
 }
 
-/// The same with one that was closed to make room for a connection to a streamer, where all others are in use.
+/// The same with a streamer connection that was evicted in favour of a connection to another streamer while
+/// all other connections were in use.
 #[test]
 fn a_release_lost_to_an_eviction_is_received_on_a_new_connection() {
     let one_set_up_per_connection =
@@ -184,19 +193,21 @@
     read_rtsp(&mut first);
     first.write_all(&stands(0x261, "answer")).expect("written");
     assert_eq!(hear(&mut viewer).0, 9);
-    // One more on the same connection, and one each on all others that there may be.
+    // Another set-up on the same connection, and one on each further connection up to the limit.
     let mut requested = 0;
     while rig.figure("withdrawn") == 0 {
         viewer.write_all(&set_up(0x1000 + requested, "replay")).expect("written");
         requested += 1;
-        until("it is sent", || rig.figure("relayed") == requested + 1 || rig.figure("withdrawn") > 0);
+        until("it is sent or withdrawn", || {
+            rig.figure("relayed") == requested + 1 || rig.figure("withdrawn") > 0
+        });
     }
-    assert_eq!(hear(&mut viewer).0, 12, "the last one found no connection");
+    assert_eq!(hear(&mut viewer).0, 12, "no connection was available for the last one");
     read_rtsp(&mut first);
     first.write_all(&stands(0x1000, "answer")).expect("written");
     assert_eq!(hear(&mut viewer).0, 9);
     let mut others: Vec<TcpStream> = (2..requested).map(|_| rig.streamer()).collect();
-    // The next one goes to another streamer, whose connection needs a place.
+    // The next one goes to another streamer, for whose connection another one must be evicted.
     let second_listener = listener();
     let address = |listener: &std::net::TcpListener| listener.local_addr().expect("bound");
     let members = [
@@ -206,16 +217,16 @@
     let mut discovery = accept(&rig.bulletin);
     let event = format!(r#"{{"no":2,"roster":{{"members":[{}]}}}}"#, members.join(","));
     discovery.write_all(format!("{event}\n").as_bytes()).expect("written");
-    until("it is in the list", || rig.figure("registry_entries") == 2);
+    until("the second streamer is listed", || rig.figure("registry_entries") == 2);
     viewer.write_all(&set_up(0x2000, "replay")).expect("written");
     let _other_streamer = accept(&second_listener);
     expect_end_of_stream(&mut first);
     let mut second = others.remove(0);
     read_rtsp(&mut second);
-    second.write_all(&stands(0x1001, "answer")).expect("written"); // a place for a new one
+    second.write_all(&stands(0x1001, "answer")).expect("written"); // this connection may now be evicted
     let answered_at = Instant::now();
     let mut replacement = rig.streamer();
-    assert!(answered_at.elapsed() < RELEASE_TIME_LIMIT, "begun within the time of a release");
+    assert!(answered_at.elapsed() < RELEASE_TIME_LIMIT, "connected within the time limit of a release");
     replacement.write_all(&over(0x261)).expect("written");
     assert_eq!(hear(&mut viewer).1, 0x1001);
     assert_eq!(hear(&mut viewer), (12, 0x261, vec![58, 0, 1, 16]), "its end");
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -1,4 +1,4 @@
-//! Floods and crowds of clients: what makes room, what keeps it, and that nobody who asked stays without an answer.
+//! Many clients or requests at once: which connections are evicted, and that every request is answered.
 mod common;
 mod rig;
 use rig::*;
@@ -6,42 +6,42 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-/// Connections that the rig's director holds for viewers: half of its 128 descriptors less its own.
+/// Viewer connections that the director under test accepts: half of its 128 file descriptors less its own.
 const MAX_VIEWER_CONNECTIONS: usize = 44;
 
-/// Asks whether clients are taken, and hears yes.
+/// Runs a health check and expects that clients are accepted.
 fn check_health(viewer: &mut TcpStream, id: u64) {
     viewer.write_all(&message(52, id, &[(58, &[0])])).expect("written");
     assert_eq!(hear(viewer), (53, id, vec![58, 0, 1, 1]));
 }
 
-/// A full table made room by the connection that was longest unheard of, though a message had come on it: it
-/// was met before that was read.
+/// At the limit on connections the one with the oldest last message was evicted although a new message had
+/// arrived on it, because the eviction was made before that message was read.
 #[test]
 fn a_received_message_is_processed_before_its_connection_is_evicted() {
     let rig = Rig::with_door();
     let mut connections: Vec<TcpStream> = Vec::new();
     while rig.figure("viewers_shed") == 0 {
-        assert!(connections.len() < 1_000, "it is never full");
+        assert!(connections.len() < 1_000, "the limit is never reached");
         connections.push(rig.viewer());
         let last = connections.len() - 1;
         check_health(&mut connections[last], last as u64 + 1);
     }
-    // The first made room. The second is the longest unheard of now.
+    // The first connection was evicted. The second one now has the oldest last message.
     rig.stop();
     let newcomer = rig.viewer();
     connections[1].write_all(&message(52, 0x2000, &[(58, &[0])])).expect("written");
     rig.go_on();
-    assert_eq!(hear(&mut connections[1]), (53, 0x2000, vec![58, 0, 1, 1]), "heard, not closed");
+    assert_eq!(hear(&mut connections[1]), (53, 0x2000, vec![58, 0, 1, 1]), "answered, not closed");
     drop(newcomer);
 }
 
-/// The list's source is down and idle clients take every place that they can get: requests are served all the
-/// same, and the source is found again when it is back.
+/// Discovery is down and idle clients take all connections that they can get: requests are still served, and
+/// discovery is connected again once it is back.
 #[test]
 fn idle_connections_block_neither_requests_nor_discovery() {
     let rig = Rig::with_door();
-    drop(accept(&rig.bulletin)); // it broke off, and answers nobody from now on
+    drop(accept(&rig.bulletin)); // discovery fails and does not respond from now on
     let idle: Vec<TcpStream> = (0..3 * MAX_VIEWER_CONNECTIONS).map(|_| rig.viewer()).collect();
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf1, "replay")).expect("written");
@@ -53,12 +53,13 @@
     let draining = member("s-1", rig.streamer.local_addr().expect("bound"), "terminating");
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{draining}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
-    until("the list is followed again", || rig.figure("out_of_rotation") == 1);
-    assert_eq!(rig.figure("descriptors_out"), 0, "none was missing");
+    until("updates of the list are received again", || rig.figure("out_of_rotation") == 1);
+    assert_eq!(rig.figure("descriptors_out"), 0, "no descriptor was missing");
     drop(idle);
 }
 
-/// Thousands of requests at once on one connection: each is answered, most are refused at once, and none twice.
+/// Thousands of requests at once on one connection: each is answered exactly once, most of them by an
+/// immediate refusal.
 #[test]
 fn each_request_of_a_flood_on_one_connection_is_answered_once() {
     const REQUESTS: u64 = 3_000;
@@ -83,12 +84,13 @@
     });
     sending.join().expect("all sent");
     drop(read_rtsp(&mut streamer));
-    drop(streamer); // what is out breaks, and is answered, too
+    drop(streamer); // attempts in flight fail, and their requests are answered, too
     let answer_counts = receiving.join().expect("all answered");
-    assert!(answer_counts.values().all(|count| *count == 1), "each once");
+    assert!(answer_counts.values().all(|count| *count == 1), "each request is answered once");
 }
 
-/// A crowd of new connections with a request each: each gets an answer, whether the table was full or not.
+/// A burst of new connections with one request each: each gets an answer, also beyond the limit on
+/// connections.
 #[test]
 fn each_request_of_a_burst_of_connections_is_answered() {
     let rig = Rig::start();
@@ -103,7 +105,8 @@
     }
 }
 
-/// A full table closed the connection of a viewer that was in the middle of reading its answers.
+/// At the limit on connections the connection of a viewer was evicted while the viewer was reading its
+/// answers.
 #[test]
 fn a_connection_with_partly_written_answers_is_not_evicted() {
     let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
@@ -112,9 +115,9 @@
     rig.stop();
     let new_connections: Vec<TcpStream> = (0..4 * MAX_VIEWER_CONNECTIONS).map(|_| rig.viewer()).collect();
     rig.go_on();
-    until("the table is full", || rig.figure("viewer_connections") > connections_before);
+    until("the limit is reached", || rig.figure("viewer_connections") > connections_before);
     for _ in 0..answers {
-        assert_eq!(hear(&mut viewer).0, 9, "whole");
+        assert_eq!(hear(&mut viewer).0, 9, "complete");
     }
     drop(new_connections);
 }
