--- a/src/net/viewers/connection.rs
+++ b/src/net/viewers/connection.rs
@@ -58,7 +58,7 @@
     Silent,
     /// It was evicted in favour of a new connection.
     Room,
-    /// The director is draining.
+    /// It was idle while the director sends its clients away, as a lame duck or before it stops.
     Drain,
     /// The process is shutting down.
     End,
@@ -89,6 +89,7 @@
 pub struct Connection {
     pub line: Line,
     pub accepted_at: Micros,
+    /// When a complete message was last read; initially when the connection was accepted.
     pub last_message_at: Micros,
     /// Set while reading is paused because too much data waits to be read by the client.
     pub stalled: Option<Stall>,
