--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -35,14 +35,20 @@
 #[test]
 fn a_set_up_is_parsed_with_all_its_fields() {
     let (message, used) = viewer::read(&set_up_bytes()).expect("valid").expect("complete");
-    let viewer::FromViewer::SetUp(set_up) = message else { panic!("{message:?}") };
+    let viewer::ViewerMessage::SetUp(set_up) = message else { panic!("{message:?}") };
     assert_eq!(used, set_up_bytes().len());
     assert_eq!(
         (set_up.session, set_up.class.as_str(), set_up.wait_ms, set_up.retry),
         (ID.0, "paid", Some(1500), true)
     );
-    assert_eq!((set_up.home, set_up.copies, set_up.top, set_up.again), (4, 3, Some(2), true));
-    assert_eq!((set_up.viewer.as_str(), set_up.at.as_deref()), ("00000000b4d65521", Some("s-00c41f7a")));
+    assert_eq!(
+        (set_up.start_cell, set_up.cells_in_row, set_up.max_rung, set_up.returning),
+        (4, 3, Some(2), true)
+    );
+    assert_eq!(
+        (set_up.viewer.as_str(), set_up.playing_at.as_deref()),
+        ("00000000b4d65521", Some("s-00c41f7a"))
+    );
     assert_eq!(set_up.description, b"\x00raw\xff");
 }
 
@@ -62,29 +68,29 @@
 fn malformed_binary_messages_are_errors() {
     use viewer::ViewerError::*;
     let unusable = |bytes: &[u8]| match viewer::read(bytes) {
-        Ok(Some((viewer::FromViewer::Unusable(id, why), used))) if used == bytes.len() => (id, why),
+        Ok(Some((viewer::ViewerMessage::Unusable(id, why), used))) if used == bytes.len() => (id, why),
         other => panic!("{other:?}"),
     };
     let set_up = |figures: &[u8]| viewer_message(1, &[(16, b"paid"), (28, b"7f3a"), (31, figures)]);
     for incomplete in
         [&b"home:4;copies:3;viewer:b4"[..], b"home:4;top:2;viewer:b4", b"", b"home:-1", b"copies:nan"]
     {
-        assert_eq!(unusable(&set_up(incomplete)), (ID, SetUp(31)));
+        assert_eq!(unusable(&set_up(incomplete)), (ID, SetUpParameter(31)));
     }
-    assert_eq!(unusable(&viewer_message(123, &[(16, b"paid")])), (ID, Kind(123)));
+    assert_eq!(unusable(&viewer_message(123, &[(16, b"paid")])), (ID, UnknownType(123)));
     let mut unnumbered = set_up(b"home:4;copies:3;top:2;viewer:b4");
     unnumbered[3..11].fill(0);
-    assert_eq!(unusable(&unnumbered), (RequestId(0), Unnumbered));
+    assert_eq!(unusable(&unnumbered), (RequestId(0), MissingSession));
     assert_eq!(viewer::read(&[0, 8, 1]), Err(viewer::ViewerError::Length(8)));
     assert_eq!(viewer::read(&[0xff, 0xff]), Err(viewer::ViewerError::Length(0xffff)));
     let mut truncated = [viewer_message(1, &[(16, b"paid")]), vec![28, 0, 9]].concat();
     truncated[1] += 3;
-    assert_eq!(unusable(&truncated), (ID, Parameter));
+    assert_eq!(unusable(&truncated), (ID, TruncatedParameter));
     let title_with_line_break = viewer_message(
         1,
         &[(16, b"paid"), (28, b"x RTSP/1.0\r\nCSeq: 9"), (31, b"home:4;copies:3;top:2;viewer:b4")],
     );
-    assert_eq!(unusable(&title_with_line_break), (ID, SetUp(28)), "would split the request");
+    assert_eq!(unusable(&title_with_line_break), (ID, SetUpParameter(28)), "would split the request");
 }
 
 /// Guards the design of `platform/rtsp.rs`: if httparse ever accepts RTSP start lines, it can parse the whole
