--- a/src/net/door.rs
+++ b/src/net/admin.rs
@@ -7,7 +7,7 @@
 use super::shared::{Due, Heard, Shared};
 use crate::director::Director;
 use crate::interface::Micros;
-use crate::platform::door::{self, CallError};
+use crate::platform::admin::{self, AdminError};
 use slog::{debug, warn};
 use std::collections::BTreeMap;
 use std::io;
@@ -16,7 +16,7 @@
 /// Callers held at once, and with them the descriptors that the door needs, its listener among them.
 const CALLERS_MOST: usize = 24;
 /// Descriptors of the door.
-pub const DESCRIPTORS: usize = CALLERS_MOST + 1;
+pub const MAX_DESCRIPTORS: usize = CALLERS_MOST + 1;
 /// A caller has so long to say its first word before it may make room for another: with all places taken by
 /// callers that say nothing, more than a thousand a second are let through.
 const FIRST_US: Micros = 15_000;
@@ -44,16 +44,16 @@
 }
 
 /// The door.
-pub struct Door {
+pub struct AdminServer {
     listener: Watched<TcpListener>,
     callers: BTreeMap<Token, Caller>,
 }
 
-impl Door {
+impl AdminServer {
     /// Takes calls from a listener.
-    pub fn on(shared: &mut Shared, listener: TcpListener) -> io::Result<Self> {
+    pub fn new(shared: &mut Shared, listener: TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
-        Ok(Door { listener: shared.poll.watch(listener, false)?, callers: BTreeMap::new() })
+        Ok(AdminServer { listener: shared.poll.watch(listener, false)?, callers: BTreeMap::new() })
     }
 
     fn accept(&mut self, shared: &mut Shared) {
@@ -121,7 +121,7 @@
             // One call a connection: what else it says is read, so that it can read its answer, and dropped.
             caller.line.discard();
         } else {
-            match caller.line.take_one(door::read) {
+            match caller.line.take_one(admin::parse_request) {
                 Ok(Some(call)) => {
                     shared.counters.calls += 1;
                     caller.stage = Stage::Heard;
@@ -140,17 +140,17 @@
         }
     }
 
-    fn refuse(&mut self, shared: &mut Shared, token: Token, why: CallError) {
+    fn refuse(&mut self, shared: &mut Shared, token: Token, why: AdminError) {
         debug!(shared.log, "a call can't be answered: {why}");
         shared.counters.calls_unusable += 1;
-        self.answer(shared, token, why.status(), &format!("{why}\n"));
+        self.respond(shared, token, why.status(), &format!("{why}\n"));
     }
 
     /// Answers a call.
-    pub fn answer(&mut self, shared: &mut Shared, token: Token, status: u16, body: &str) {
+    pub fn respond(&mut self, shared: &mut Shared, token: Token, status: u16, body: &str) {
         let Some(caller) = self.callers.get_mut(&token) else { return };
         caller.stage = Stage::Told;
-        caller.line.put(&door::answer(status, body));
+        caller.line.put(&admin::encode_response(status, body));
         self.flush(shared, token);
     }
 
@@ -168,7 +168,7 @@
     }
 }
 
-impl Part for Door {
+impl Part for AdminServer {
     fn owns(&self, token: Token) -> bool {
         self.callers.contains_key(&token) || self.listener.token() == token
     }
--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -1,9 +1,9 @@
 //! How a director begins: its files read and checked, its parts made, all before the first turn. It owns
 //! nothing afterwards.
+use super::admin::{self, AdminServer};
 use super::agreed::Agreed;
-use super::bulletin::Bulletin;
 use super::clock::Clock;
-use super::door::{self, Door};
+use super::discovery::DiscoveryClient;
 use super::duty::{Phase, grace_us};
 use super::error::NodeError;
 use super::hand::Hands;
@@ -177,7 +177,7 @@
             Some(at) => {
                 let door = viewers::listen(at).and_then(|listener| {
                     info!(shared.log, "operators call"; "at" => %listener.local_addr()?);
-                    Door::on(&mut shared, listener)
+                    AdminServer::new(&mut shared, listener)
                 });
                 Some(door.map_err(|why| NodeError::Listen(at, why))?)
             }
@@ -185,17 +185,17 @@
         };
         let mut own = OWN_DESCRIPTORS;
         own += if peers.is_some() { peers::DESCRIPTORS } else { 0 };
-        own += if door.is_some() { door::DESCRIPTORS } else { 0 };
+        own += if door.is_some() { admin::MAX_DESCRIPTORS } else { 0 };
         let sockets = config.limits.sockets.saturating_sub(own);
-        let listener = match config.inherited {
+        let listener = match config.inherited_fd {
             Some(fd) => poll::inherit(fd).map_err(|why| NodeError::Inherited(fd, why))?,
             None => viewers::listen(config.listen).map_err(|why| NodeError::Listen(config.listen, why))?,
         };
         let viewers = Viewers::on(&mut shared, listener, sockets / 2)
             .map_err(|why| NodeError::Listen(config.listen, why))?;
-        let duty = Lifecycle::new(grace_us(transport.longest_deadline_us()), config.inherited.is_some());
+        let duty = Lifecycle::new(grace_us(transport.longest_deadline_us()), config.inherited_fd.is_some());
         let streamers = Streamers::new(transport.clone(), sockets / 2);
-        let bulletin = Bulletin::new(config.bulletin, config.known.no);
+        let bulletin = DiscoveryClient::new(config.bulletin, config.known.last_event);
         let mut node = Node {
             clock,
             director,
@@ -212,13 +212,13 @@
             told_to_end: false,
             duty,
             figures,
-            estate: config.shared_folder().map(|folder| estate::place(folder, &config.name)),
+            estate: config.shared_dir().map(|folder| estate::place(folder, &config.name)),
             inherited: false,
             phase: Phase::Serving,
             tracing: false,
         };
-        config.known.items.iter().for_each(|notice| node.notice(notice, true));
-        node.parts.bulletin.look(&mut node.shared);
+        config.known.events.iter().for_each(|event| node.notice(event, true));
+        node.parts.bulletin.check_deadline(&mut node.shared);
         node.parts.streamers.begin(&mut node.shared);
         Ok(node)
     }
--- a/src/net/bulletin.rs
+++ b/src/net/discovery.rs
@@ -5,8 +5,8 @@
 use super::shared::{Due, Heard, Shared};
 use crate::director::Director;
 use crate::interface::Micros;
-use crate::platform::MESSAGE_MAX;
-use crate::platform::bulletin::{self, Notice};
+use crate::platform::MAX_MESSAGE_BYTES;
+use crate::platform::discovery::{self, Event, Message};
 use slog::{debug, info, warn};
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 const BACK_OFF_US: Micros = 50_000;
 const BACK_OFF_MOST_US: Micros = 1_000_000;
 /// The longest line: a whole list of a large fleet.
-const LINE_MOST: usize = 64 * MESSAGE_MAX;
+const LINE_MOST: usize = 64 * MAX_MESSAGE_BYTES;
 
 /// Why a line ends the connection that it came on.
 #[derive(Debug, thiserror::Error)]
@@ -25,11 +25,11 @@
     #[error("events were left out; they are asked for again")]
     Gap,
     #[error("{0}; it is asked for again")]
-    Unreadable(bulletin::BulletinError),
+    Unreadable(discovery::DiscoveryError),
 }
 
 /// The bulletin as this director follows it.
-pub struct Bulletin {
+pub struct DiscoveryClient {
     address: SocketAddr,
     line: Option<Line>,
     up: bool,
@@ -39,25 +39,25 @@
     back_off: Micros,
 }
 
-impl Bulletin {
+impl DiscoveryClient {
     /// Follows the bulletin at an address from after an event.
     pub fn new(address: SocketAddr, last: u64) -> Self {
-        Bulletin { address, line: None, up: false, last, due: 0, back_off: BACK_OFF_US }
+        DiscoveryClient { address, line: None, up: false, last, due: 0, back_off: BACK_OFF_US }
     }
 
     /// Follows the bulletin at another address from here on, beginning after the last event heard.
-    pub fn follow(&mut self, shared: &mut Shared, address: SocketAddr) {
+    pub fn set_address(&mut self, shared: &mut Shared, address: SocketAddr) {
         if address == self.address {
             return;
         }
         info!(shared.log, "the bulletin has moved"; "to" => %address, "after" => self.last);
         (self.address, self.line, self.back_off) = (address, None, BACK_OFF_US);
         self.due = shared.now;
-        self.look(shared);
+        self.check_deadline(shared);
     }
 
     /// Looks after the connection when a deadline of it has come.
-    pub fn look(&mut self, shared: &mut Shared) {
+    pub fn check_deadline(&mut self, shared: &mut Shared) {
         if shared.now < self.due {
             return; // something was heard meanwhile
         }
@@ -88,7 +88,7 @@
     }
 
     /// Reads and writes its connection; returns the new events, in order and each once.
-    fn exchange(&mut self, shared: &mut Shared, Ready { readable, writable, .. }: Ready) -> Vec<Notice> {
+    fn exchange(&mut self, shared: &mut Shared, Ready { readable, writable, .. }: Ready) -> Vec<Event> {
         let Some(line) = self.line.as_mut() else { return Vec::new() };
         if writable && !self.up {
             if let Err(why) = line.outcome() {
@@ -96,7 +96,7 @@
                 return Vec::new();
             }
             self.up = true;
-            line.put(&bulletin::ask_after(self.last));
+            line.put(&discovery::encode_request_after(self.last));
             self.expect(shared, SILENT_US);
         }
         let Some(line) = self.line.as_mut() else { return Vec::new() };
@@ -115,7 +115,7 @@
         let mut news = Vec::new();
         for text in lines.iter().filter(|l| !l.is_empty()) {
             match self.accept(shared, text) {
-                Ok(notice) => news.extend(notice),
+                Ok(event) => news.extend(event),
                 Err(why) => {
                     self.broke(shared, &why.to_string());
                     return news;
@@ -135,35 +135,35 @@
     }
 }
 
-impl Bulletin {
+impl DiscoveryClient {
     /// Takes one line: an event that comes next, or nothing where there is none in it. Only what moves on or
     /// confirms the last number shortens the wait before the next connection: a source that goes on with what
     /// is of no use is not asked again and again at once.
-    fn accept(&mut self, shared: &mut Shared, text: &[u8]) -> Result<Option<Notice>, LineError> {
-        let notice = match bulletin::read(text) {
-            Ok(bulletin::Line::Last(last)) if last > self.last => return Err(LineError::Gap),
-            Ok(bulletin::Line::Last(_)) => None,
-            Ok(bulletin::Line::Notice(notice)) if notice.no <= self.last => {
-                debug!(shared.log, "an event came twice"; "no" => notice.no);
+    fn accept(&mut self, shared: &mut Shared, text: &[u8]) -> Result<Option<Event>, LineError> {
+        let event = match discovery::parse_line(text) {
+            Ok(Message::Heartbeat(last)) if last > self.last => return Err(LineError::Gap),
+            Ok(Message::Heartbeat(_)) => None,
+            Ok(Message::Event(event)) if event.number <= self.last => {
+                debug!(shared.log, "an event came twice"; "no" => event.number);
                 return Ok(None);
             }
             // A whole list stands for all events before it.
-            Ok(bulletin::Line::Notice(notice)) if notice.no > self.last + 1 && !notice.is_whole() => {
+            Ok(Message::Event(event)) if event.number > self.last + 1 && !event.is_full_list() => {
                 return Err(LineError::Gap);
             }
-            Ok(bulletin::Line::Notice(notice)) => Some(notice),
+            Ok(Message::Event(event)) => Some(event),
             Err(why) => {
                 shared.counters.malformed += 1;
                 return Err(LineError::Unreadable(why));
             }
         };
-        self.last = notice.as_ref().map_or(self.last, |notice| notice.no);
+        self.last = event.as_ref().map_or(self.last, |event| event.number);
         self.back_off = BACK_OFF_US;
-        Ok(notice)
+        Ok(event)
     }
 }
 
-impl Part for Bulletin {
+impl Part for DiscoveryClient {
     fn owns(&self, token: Token) -> bool {
         self.line.as_ref().is_some_and(|l| l.token() == token)
     }
@@ -176,7 +176,7 @@
     fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
         let own = due == Due::Bulletin;
         if own {
-            self.look(shared);
+            self.check_deadline(shared);
         }
         own
     }
--- a/src/net/duty.rs
+++ b/src/net/duty.rs
@@ -5,7 +5,7 @@
 use super::{Node, estate, signals};
 use crate::director::{ClientActions, CloseScope, Input, Output};
 use crate::interface::{Micros, RequestId};
-use crate::platform::door::Call;
+use crate::platform::admin::AdminRequest;
 use slog::{info, warn};
 
 /// The longest deadline that the grace period counts, and how long after it a platform may kill the process,
@@ -49,12 +49,12 @@
 
 impl Node {
     /// Answers a call at the operators' door.
-    pub(super) fn called(&mut self, token: Token, call: Call) {
+    pub(super) fn called(&mut self, token: Token, call: AdminRequest) {
         let (status, body) = match call {
-            Call::Ready if self.duty.accepts_clients() => (200, "takes clients\n".to_owned()),
-            Call::Ready => (503, "takes no clients\n".to_owned()),
-            Call::Vars => (200, self.vars()),
-            Call::LameDuck(on) => match self.duty.set_lame_duck(self.shared.now, on) {
+            AdminRequest::Ready if self.duty.accepts_clients() => (200, "takes clients\n".to_owned()),
+            AdminRequest::Ready => (503, "takes no clients\n".to_owned()),
+            AdminRequest::Vars => (200, self.vars()),
+            AdminRequest::LameDuck(on) => match self.duty.set_lame_duck(self.shared.now, on) {
                 Ok(()) => {
                     info!(self.shared.log, "{}", if on { "sends clients away" } else { "takes clients" });
                     self.look_at_duty();
@@ -64,7 +64,7 @@
             },
         };
         if let Some(door) = &mut self.parts.door {
-            door.answer(&mut self.shared, token, status, &body);
+            door.respond(&mut self.shared, token, status, &body);
         }
     }
 
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::director::{Input, Parcel, ViewerLink};
 use crate::interface::{Entry, ListScope, RequestId, Standing, StreamerId};
-use crate::platform::bulletin::{Members, Notice};
+use crate::platform::discovery::{Event, ResolvedMembers};
 use crate::platform::viewer::{self, FromViewer, SetUp};
 use crate::settings::NamedRequest;
 use slog::{debug, warn};
@@ -86,12 +86,12 @@
         });
     }
 
-    pub(super) fn notice(&mut self, notice: &Notice, known: bool) {
-        let Some(roster) = &notice.roster else { return };
-        let Members { mut entries, errors } = roster.members(&mut self.names);
+    pub(super) fn notice(&mut self, event: &Event, known: bool) {
+        let Some(roster) = &event.roster else { return };
+        let ResolvedMembers { mut entries, errors } = roster.resolve_members(&mut self.names);
         for why in errors {
             self.shared.counters.malformed += 1;
-            warn!(self.shared.log, "in the list of streamers: {why}"; "no" => notice.no);
+            warn!(self.shared.log, "in the list of streamers: {why}"; "no" => event.number);
         }
         let scope = match roster.scope() {
             ListScope::Full if known => ListScope::Cached,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,10 @@
 //! The loop: one thread, one poller. Each turn gathers what is ready, hands it to the core in one go, and
 //! carries out what came back. It decides nothing.
+mod admin;
 mod agreed;
 mod begin;
-mod bulletin;
 mod clock;
-mod door;
+mod discovery;
 mod duty;
 mod error;
 mod estate;
--- a/src/net/parts.rs
+++ b/src/net/parts.rs
@@ -1,7 +1,7 @@
 //! All parts of a director's loop, by name, and whose a descriptor or deadline is. Knows the parts; they do
 //! not know it.
-use super::bulletin::Bulletin;
-use super::door::Door;
+use super::admin::AdminServer;
+use super::discovery::DiscoveryClient;
 use super::part::{Part, Ready};
 use super::peers::Peers;
 use super::shared::{Due, Shared};
@@ -18,9 +18,9 @@
     /// The connections to streamers.
     pub streamers: Streamers,
     /// The connection to the bulletin.
-    pub bulletin: Bulletin,
+    pub bulletin: DiscoveryClient,
     /// The operators' door, where there is one.
-    pub door: Option<Door>,
+    pub door: Option<AdminServer>,
     /// The sockets of the fleet, where it is on.
     pub peers: Option<Peers>,
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -24,7 +24,7 @@
 
     /// Reads and checks all of it, as at a start.
     fn reread(&self) -> Result<Reread, NodeError> {
-        let config = Config::from_file(self.file.as_deref().ok_or(ConfigError::Unnamed)?)?;
+        let config = Config::from_file(self.file.as_deref().ok_or(ConfigError::PathNotSet)?)?;
         if config.name != self.name {
             return Err(NodeError::OtherDirector(config.name));
         }
@@ -52,6 +52,6 @@
         if read.config.settings != self.info {
             warn!(self.shared.log, "its settings differ from those in force and hold from the next start");
         }
-        self.parts.bulletin.follow(&mut self.shared, read.config.bulletin);
+        self.parts.bulletin.set_address(&mut self.shared, read.config.bulletin);
     }
 }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -3,8 +3,8 @@
 use super::poll::{Poll, Token};
 use crate::director::{self, Attempt, Counters, Deadlines, Input, ViewerLink};
 use crate::interface::{Micros, RequestId};
-use crate::platform::bulletin::Notice;
-use crate::platform::door::Call;
+use crate::platform::admin::AdminRequest;
+use crate::platform::discovery::Event;
 use crate::platform::viewer::FromViewer;
 use slog::Logger;
 
@@ -50,9 +50,9 @@
     /// A connection that its viewer has closed, behind its last message.
     Closed(Token),
     /// An event of the bulletin.
-    Notice(Notice),
+    Notice(Event),
     /// A call at the operators' door.
-    Call(Token, Call),
+    Call(Token, AdminRequest),
 }
 
 /// The loop's tools, and what it has gathered for the core.
--- a/src/platform/door.rs
+++ b/src/platform/admin.rs
@@ -3,12 +3,12 @@
 use std::fmt::Write;
 
 /// The longest head of a call, bytes.
-pub const CALL_MAX: usize = 4 * 1024;
+pub const MAX_HEAD_BYTES: usize = 4 * 1024;
 const HEADERS_MAX: usize = 32;
 
 /// What operators ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     /// Does this process take clients?
     Ready,
     /// The figures.
@@ -19,59 +19,61 @@
 
 /// A call that can't be answered with a yes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CallError {
+pub enum AdminError {
     /// It is not HTTP.
     #[error("this is no HTTP call; ask as in GET /_ready HTTP/1.1")]
-    Unreadable,
+    Malformed,
     /// It is too long.
-    #[error("a call's head has {CALL_MAX} bytes at most; leave header lines out")]
-    TooLong,
+    #[error("a call's head has {MAX_HEAD_BYTES} bytes at most; leave header lines out")]
+    HeadTooLong,
     /// Nothing has this path.
     #[error("no such call; there are GET /_ready, GET /_vars, PUT /_lameduck/on, PUT /_lameduck/off")]
-    Unknown,
+    UnknownPath,
     /// The path has another method.
     #[error("wrong method; /_ready and /_vars are asked with GET, /_lameduck/on and off with PUT")]
-    Method,
+    WrongMethod,
 }
 
-impl CallError {
+impl AdminError {
     /// The status that answers it.
     pub fn status(self) -> u16 {
         match self {
-            CallError::Unreadable => 400,
-            CallError::TooLong => 431,
-            CallError::Unknown => 404,
-            CallError::Method => 405,
+            AdminError::Malformed => 400,
+            AdminError::HeadTooLong => 431,
+            AdminError::UnknownPath => 404,
+            AdminError::WrongMethod => 405,
         }
     }
 }
 
 /// Reads one call's head; `None` where it is not whole yet. Also tells how many bytes it took. A body is left
 /// unread: none of the calls has one.
-pub fn read(bytes: &[u8]) -> Result<Option<(Call, usize)>, CallError> {
+pub fn parse_request(bytes: &[u8]) -> Result<Option<(AdminRequest, usize)>, AdminError> {
     let mut slots = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut call = httparse::Request::new(&mut slots);
-    let length = match call.parse(bytes.get(..CALL_MAX.min(bytes.len())).unwrap_or_default()) {
+    let length = match call.parse(bytes.get(..MAX_HEAD_BYTES.min(bytes.len())).unwrap_or_default()) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() >= CALL_MAX => return Err(CallError::TooLong),
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => {
+            return Err(AdminError::HeadTooLong);
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(CallError::TooLong),
-        Err(_) => return Err(CallError::Unreadable),
+        Err(httparse::Error::TooManyHeaders) => return Err(AdminError::HeadTooLong),
+        Err(_) => return Err(AdminError::Malformed),
     };
     let path = call.path.unwrap_or_default();
     let path = path.split(['?', '#']).next().unwrap_or_default();
     let (method, wanted) = match path {
-        "/_ready" => ("GET", Call::Ready),
-        "/_vars" => ("GET", Call::Vars),
-        "/_lameduck/on" => ("PUT", Call::LameDuck(true)),
-        "/_lameduck/off" => ("PUT", Call::LameDuck(false)),
-        _ => return Err(CallError::Unknown),
+        "/_ready" => ("GET", AdminRequest::Ready),
+        "/_vars" => ("GET", AdminRequest::Vars),
+        "/_lameduck/on" => ("PUT", AdminRequest::LameDuck(true)),
+        "/_lameduck/off" => ("PUT", AdminRequest::LameDuck(false)),
+        _ => return Err(AdminError::UnknownPath),
     };
-    if call.method == Some(method) { Ok(Some((wanted, length))) } else { Err(CallError::Method) }
+    if call.method == Some(method) { Ok(Some((wanted, length))) } else { Err(AdminError::WrongMethod) }
 }
 
 /// An answer, after which the connection is closed.
-pub fn answer(status: u16, body: &str) -> Vec<u8> {
+pub fn encode_response(status: u16, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,5 +1,5 @@
 //! What a director is told at its start: the JSON file that `LB_CONFIG` names.
-use super::bulletin::Notice;
+use super::discovery::Event;
 use crate::settings::{NameError, RawSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
     #[error("LB_CONFIG names no configuration file")]
-    Unnamed,
+    PathNotSet,
     /// The file can't be read.
     #[error("configuration {path}: {why}")]
     Unreadable {
@@ -29,7 +29,7 @@
     },
     /// A value is of no use.
     #[error("configuration: {0}")]
-    Value(String),
+    InvalidValue(String),
     /// The settings in it are of no use.
     #[error("configuration: {0}")]
     Settings(#[from] NameError),
@@ -44,12 +44,13 @@
 
 /// The events of the bulletin up to the start.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Known {
+pub struct KnownEvents {
     /// The last event's number.
-    pub no: u64,
+    #[serde(rename = "no")]
+    pub last_event: u64,
     /// The events.
-    #[serde(default)]
-    pub items: Vec<Notice>,
+    #[serde(default, rename = "items")]
+    pub events: Vec<Event>,
 }
 
 /// A director's configuration.
@@ -71,7 +72,7 @@
     pub admin_addr: Option<SocketAddr>,
     /// What the bulletin has told so far.
     #[serde(default)]
-    pub known: Known,
+    pub known: KnownEvents,
     /// The module's settings.
     pub settings: RawSettings,
     /// The file it was read from, where it was.
@@ -79,39 +80,43 @@
     file: Option<PathBuf>,
     /// The number of the clients' listening socket, where the platform holds it and hands it down.
     #[serde(skip)]
-    pub inherited: Option<i32>,
+    pub inherited_fd: Option<i32>,
     /// The folder that a director's processes share, where the platform replaces them.
     #[serde(skip)]
-    folder: Option<PathBuf>,
+    shared_dir: Option<PathBuf>,
 }
 
 /// The fewest descriptors that a director can work with.
-const LEAST_SOCKETS: usize = 32;
+const MIN_SOCKETS: usize = 32;
 
 impl Config {
     /// Reads the file that `LB_CONFIG` names.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var_os("LB_CONFIG").ok_or(ConfigError::Unnamed)?;
+        let path = std::env::var_os("LB_CONFIG").ok_or(ConfigError::PathNotSet)?;
         let mut config = Config::from_file(Path::new(&path))?;
-        config.take_over(|name| std::env::var(name).ok())?;
+        config.apply_env(|name| std::env::var(name).ok())?;
         Ok(config)
     }
 
     /// Takes what the platform says beside the file.
-    fn take_over(&mut self, var: impl Fn(&str) -> Option<String>) -> Result<(), ConfigError> {
+    fn apply_env(&mut self, var: impl Fn(&str) -> Option<String>) -> Result<(), ConfigError> {
         let value = |name: &str| var(name).map(|v| v.trim().to_owned()).filter(|v| !v.is_empty());
         if let Some(text) = value("LB_ADMIN_ADDR") {
             let at = text.parse().map_err(|_| {
-                ConfigError::Value(format!("LB_ADMIN_ADDR {text:?} is no address such as 127.0.0.1:9000"))
+                ConfigError::InvalidValue(format!(
+                    "LB_ADMIN_ADDR {text:?} is no address such as 127.0.0.1:9000"
+                ))
             });
             self.admin_addr = Some(at?);
         }
         if let Some(text) = value("LB_INHERITED_FD") {
             let fd = text.parse().ok().filter(|fd| *fd > 2).ok_or_else(|| {
-                ConfigError::Value(format!("LB_INHERITED_FD {text:?} is no descriptor's number above 2"))
+                ConfigError::InvalidValue(format!(
+                    "LB_INHERITED_FD {text:?} is no descriptor's number above 2"
+                ))
             });
-            self.inherited = Some(fd?);
-            self.folder = value("TMPDIR").map(PathBuf::from);
+            self.inherited_fd = Some(fd?);
+            self.shared_dir = value("TMPDIR").map(PathBuf::from);
         }
         Ok(())
     }
@@ -124,17 +129,19 @@
         let mut config: Config =
             serde_json::from_slice(&text).map_err(|why| ConfigError::Malformed { path, why })?;
         config.seed()?;
-        if config.limits.sockets < LEAST_SOCKETS {
+        if config.limits.sockets < MIN_SOCKETS {
             let sockets = config.limits.sockets;
-            return Err(ConfigError::Value(format!("{sockets} sockets are too few, {LEAST_SOCKETS} needed")));
+            return Err(ConfigError::InvalidValue(format!(
+                "{sockets} sockets are too few, {MIN_SOCKETS} needed"
+            )));
         }
         config.file = Some(file.to_owned());
         Ok(config)
     }
 
     /// The folder that the director's processes share; none where the platform does not replace them.
-    pub fn shared_folder(&self) -> Option<&Path> {
-        self.folder.as_deref()
+    pub fn shared_dir(&self) -> Option<&Path> {
+        self.shared_dir.as_deref()
     }
 
     /// The file it was read from.
@@ -145,6 +152,6 @@
     /// The seed of the director's random numbers.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         let seed = u64::from_str_radix(self.seed.trim_start_matches("0x"), 16);
-        seed.map_err(|_| ConfigError::Value(format!("seed {:?} is not a hex number", self.seed)))
+        seed.map_err(|_| ConfigError::InvalidValue(format!("seed {:?} is not a hex number", self.seed)))
     }
 }
--- a/src/platform/bulletin.rs
+++ b/src/platform/discovery.rs
@@ -6,7 +6,7 @@
 
 /// A line of the bulletin that can't be read.
 #[derive(Debug, thiserror::Error)]
-pub enum BulletinError {
+pub enum DiscoveryError {
     /// Not JSON of the right form.
     #[error("bad line: {0}")]
     Json(#[from] serde_json::Error),
@@ -35,7 +35,7 @@
 
 /// The entries of an event that can be used, and what is wrong with others.
 #[derive(Debug, Default)]
-pub struct Members {
+pub struct ResolvedMembers {
     /// The entries, in the module's terms, with the streamers' addresses.
     pub entries: Vec<(Entry, SocketAddr)>,
     /// What can't be used as it stands.
@@ -44,16 +44,17 @@
 
 /// An event of the bulletin.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Notice {
+pub struct Event {
     /// Its number.
-    pub no: u64,
+    #[serde(rename = "no")]
+    pub number: u64,
     /// What changed in the list of streamers.
-    pub roster: Option<Roster>,
+    pub roster: Option<MembershipUpdate>,
 }
 
 /// The list of streamers, or what changed in it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Roster {
+pub struct MembershipUpdate {
     #[serde(default)]
     complete: bool,
     members: Vec<Member>,
@@ -77,42 +78,42 @@
 
 /// A line of the bulletin.
 #[derive(Debug)]
-pub enum Line {
+pub enum Message {
     /// The number of the last event.
-    Last(u64),
+    Heartbeat(u64),
     /// An event.
-    Notice(Notice),
+    Event(Event),
 }
 
 /// The line that asks for all events after one.
-pub fn ask_after(no: u64) -> Vec<u8> {
-    format!("after {no}\n").into_bytes()
+pub fn encode_request_after(number: u64) -> Vec<u8> {
+    format!("after {number}\n").into_bytes()
 }
 
 /// Reads a line without its line feed.
-pub fn read(line: &[u8]) -> Result<Line, BulletinError> {
+pub fn parse_line(line: &[u8]) -> Result<Message, DiscoveryError> {
     match std::str::from_utf8(line).ok().and_then(|text| text.trim().parse().ok()) {
-        Some(last) => Ok(Line::Last(last)),
-        None => Ok(Line::Notice(serde_json::from_slice(line)?)),
+        Some(last) => Ok(Message::Heartbeat(last)),
+        None => Ok(Message::Event(serde_json::from_slice(line)?)),
     }
 }
 
-impl Notice {
+impl Event {
     /// Whether it holds the whole list, so that events before it need not be known.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_full_list(&self) -> bool {
         self.roster.as_ref().is_some_and(|roster| roster.complete)
     }
 }
 
-impl Roster {
+impl MembershipUpdate {
     /// How the module is to take it: the whole list, or what changed.
     pub fn scope(&self) -> ListScope {
         if self.complete { ListScope::Full } else { ListScope::Delta }
     }
 
     /// Its entries. One that can't be used takes none of the others along.
-    pub fn members(&self, names: &mut NameRegistry) -> Members {
-        let mut members = Members::default();
+    pub fn resolve_members(&self, names: &mut NameRegistry) -> ResolvedMembers {
+        let mut members = ResolvedMembers::default();
         for m in &self.members {
             let Ok(address) = m.host_port.parse() else {
                 let (id, address) = (m.id.clone(), m.host_port.clone());
--- a/src/platform/rtsp.rs
+++ b/src/platform/rtsp.rs
@@ -1,7 +1,7 @@
 //! The streamers' messages, in the form of RTSP. `httparse` reads the header lines; it accepts no first line
 //! of RTSP (`httparse::Request::parse` answers `Error::Version` to `SETUP rtsp://media/x RTSP/1.0`, see the
 //! test below), so that the first line is taken apart here.
-use super::MESSAGE_MAX;
+use super::MAX_MESSAGE_BYTES;
 use crate::director::Parcel;
 use crate::interface::{LoadReport, NoteKind, Outcome, RequestId};
 use crate::settings::load_report;
@@ -29,7 +29,7 @@
     #[error("{0} is missing or can't be read")]
     Field(&'static str),
     /// Over the limit.
-    #[error("a message over {MESSAGE_MAX} bytes")]
+    #[error("a message over {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
 }
 
@@ -63,8 +63,8 @@
     // Empty lines before a message mean nothing.
     let empty = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
     let bytes = bytes.get(empty..).unwrap_or_default();
-    let seen = &bytes[..bytes.len().min(MESSAGE_MAX)];
-    let unfinished = if bytes.len() >= MESSAGE_MAX { Err(RtspError::TooLong) } else { Ok(None) };
+    let seen = &bytes[..bytes.len().min(MAX_MESSAGE_BYTES)];
+    let unfinished = if bytes.len() >= MAX_MESSAGE_BYTES { Err(RtspError::TooLong) } else { Ok(None) };
     let Some(line_end) = seen.iter().position(|b| *b == b'\n') else { return unfinished };
     let first = first_line(&seen[..line_end])?;
     let mut slots = [httparse::EMPTY_HEADER; HEADERS_MAX];
@@ -81,7 +81,7 @@
         None => 0,
     };
     let start = line_end + 1 + headers_len;
-    let end = start.checked_add(length).filter(|end| *end <= MESSAGE_MAX).ok_or(RtspError::TooLong)?;
+    let end = start.checked_add(length).filter(|end| *end <= MAX_MESSAGE_BYTES).ok_or(RtspError::TooLong)?;
     let Some(body) = bytes.get(start..end) else { return Ok(None) };
     Ok(Some((message(&first, field, body)?, empty + end)))
 }
@@ -188,7 +188,7 @@
     let fields =
         format!("Priority-Class: {}\r\nExpires-Ms: {wait_ms}\r\nX-Quality: {rung}\r\n", parcel.class);
     let bytes = request("SETUP", &parcel.title, CSEQ_SET_UP, session, &fields, &parcel.description);
-    Some(bytes).filter(|b| b.len() <= MESSAGE_MAX)
+    Some(bytes).filter(|b| b.len() <= MAX_MESSAGE_BYTES)
 }
 
 /// The set-up is given up.
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -1,5 +1,5 @@
 //! The viewers' binary messages: `length:2 type:1 session:8 parameters`, big-endian.
-use super::MESSAGE_MAX;
+use super::MAX_MESSAGE_BYTES;
 use crate::interface::RequestId;
 
 const SET_UP: u8 = 1;
@@ -102,7 +102,7 @@
 pub fn read(bytes: &[u8]) -> Result<Option<(FromViewer, usize)>, ViewerError> {
     let [high, low, rest @ ..] = bytes else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes([*high, *low]));
-    if !(9..=MESSAGE_MAX).contains(&length) {
+    if !(9..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(ViewerError::Length(length));
     }
     let Some(body) = rest.get(..length) else { return Ok(None) };
@@ -202,7 +202,7 @@
 
 /// The session stands. `None` where the description is too long to be passed on in one message.
 pub fn answer(session: RequestId, description: &[u8]) -> Option<Vec<u8>> {
-    let fits = description.len() + 12 <= MESSAGE_MAX;
+    let fits = description.len() + 12 <= MAX_MESSAGE_BYTES;
     fits.then(|| message(ANSWER, session, &[(P_DESCRIPTION, description)]))
 }
 
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -3,7 +3,7 @@
 mod common;
 use quickcheck::{Gen, QuickCheck, TestResult};
 use stonewharf::director::Parcel;
-use stonewharf::platform::{MESSAGE_MAX, bulletin, rtsp, viewer};
+use stonewharf::platform::{MAX_MESSAGE_BYTES, discovery, rtsp, viewer};
 use stonewharf::*;
 
 const ID: RequestId = RequestId(0x9b1f_03aa_5c7e_2d41);
@@ -46,7 +46,7 @@
     assert_eq!(viewer::release(ID, viewer::CAUSE_ENDED), binary(12, &[(58, &[16])]));
     assert_eq!(viewer::answer(ID, b"sdp"), Some(binary(9, &[(61, b"sdp")])));
     assert_eq!(viewer::test_result(ID, true), binary(53, &[(58, &[1])]));
-    assert_eq!(viewer::answer(ID, &[0; MESSAGE_MAX]), None, "over the limit of a message");
+    assert_eq!(viewer::answer(ID, &[0; MAX_MESSAGE_BYTES]), None, "over the limit of a message");
 }
 
 /// A length that can't be costs its connection. A set-up that names what it must not, lacks what it must have
@@ -144,8 +144,8 @@
 /// A message without end would otherwise be kept without bound.
 #[test]
 fn an_oversized_message_of_a_streamer_is_an_error() {
-    assert_eq!(rtsp::read(&[b'x'; MESSAGE_MAX]), Err(rtsp::RtspError::TooLong));
-    let head = format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: {MESSAGE_MAX}\r\n\r\n");
+    assert_eq!(rtsp::read(&[b'x'; MAX_MESSAGE_BYTES]), Err(rtsp::RtspError::TooLong));
+    let head = format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: {MAX_MESSAGE_BYTES}\r\n\r\n");
     assert_eq!(rtsp::read(head.as_bytes()), Err(rtsp::RtspError::TooLong));
     let endless = format!("RTSP/1.0 200 OK\r\nContent-Length: {}\r\n\r\n", usize::MAX);
     assert_eq!(rtsp::read(endless.as_bytes()), Err(rtsp::RtspError::TooLong));
@@ -206,7 +206,7 @@
         for bytes in &mut torn {
             let at = at % bytes.len();
             bytes[at] = value;
-            let _ = (viewer::read(bytes), rtsp::read(bytes), bulletin::read(bytes).is_ok());
+            let _ = (viewer::read(bytes), rtsp::read(bytes), discovery::parse_line(bytes).is_ok());
         }
         let used = |used: Option<usize>| used.is_none_or(|n| n > 0 && n <= noise.len());
         let binary = viewer::read(&noise).ok().flatten().map(|m| m.1);
@@ -217,15 +217,15 @@
 
 #[test]
 fn the_bulletins_lines_are_read() {
-    assert!(matches!(bulletin::read(b"41"), Ok(bulletin::Line::Last(41))));
+    assert!(matches!(discovery::parse_line(b"41"), Ok(discovery::Message::Heartbeat(41))));
     let line = br#"{"no":41,"roster":{"revision":7,"complete":false,"members":[{"id":"s-00c41f7a",
         "host_port":"10.1.0.9:2905","locality":"east","flavor":"std","cell":2,"phase":"terminating","size":4,
         "up_since_ms":1700000000000}]}}"#;
-    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line) else { panic!("not read") };
-    let roster = notice.roster.expect("a roster");
-    assert_eq!((notice.no, roster.scope()), (41, ListScope::Delta));
+    let Ok(discovery::Message::Event(event)) = discovery::parse_line(line) else { panic!("not read") };
+    let roster = event.roster.expect("a roster");
+    assert_eq!((event.number, roster.scope()), (41, ListScope::Delta));
     let mut names = common::name_registry();
-    let members = roster.members(&mut names);
+    let members = roster.resolve_members(&mut names);
     assert_eq!(members.errors, vec![]);
     let (entry, address) = &members.entries[0];
     assert_eq!(address.to_string(), "10.1.0.9:2905");
@@ -235,7 +235,7 @@
         Some(1_700_000_000_000_000),
         "a start before our own is a time like any other"
     );
-    assert!(bulletin::read(b"{\"no\":").is_err());
+    assert!(discovery::parse_line(b"{\"no\":").is_err());
 }
 
 /// One entry that can't be used used to cost the whole event, with the drains of all others in it.
@@ -249,8 +249,10 @@
         member("s-3", "10.1.0.8:2905", "terminating"),
     ];
     let line = format!(r#"{{"no":2,"roster":{{"members":[{}]}}}}"#, members.join(","));
-    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line.as_bytes()) else { panic!("not read") };
-    let members = notice.roster.expect("a roster").members(&mut common::name_registry());
+    let Ok(discovery::Message::Event(event)) = discovery::parse_line(line.as_bytes()) else {
+        panic!("not read")
+    };
+    let members = event.roster.expect("a roster").resolve_members(&mut common::name_registry());
     let standing: Vec<_> = members.entries.iter().map(|(entry, _)| entry.standing).collect();
     assert_eq!(standing, vec![Standing::Draining; 2], "an unknown state takes no set-ups");
     assert_eq!(members.errors.len(), 2);
