--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 
 /// The bulletin writes every second; silent for this long it is taken for broken.
-const SILENT_US: Micros = 1_800_000;
+const HEARTBEAT_TIMEOUT_US: Micros = 1_800_000;
 /// A connection must be up by then.
-const DIAL_US: Micros = 500_000;
-const BACK_OFF_US: Micros = 50_000;
-const BACK_OFF_MOST_US: Micros = 1_000_000;
+const CONNECT_TIMEOUT_US: Micros = 500_000;
+const MIN_RECONNECT_DELAY_US: Micros = 50_000;
+const MAX_RECONNECT_DELAY_US: Micros = 1_000_000;
 /// The longest line: a whole list of a large fleet.
-const LINE_MOST: usize = 64 * MAX_MESSAGE_BYTES;
+const MAX_LINE_BYTES: usize = 64 * MAX_MESSAGE_BYTES;
 
 /// Why a line ends the connection that it came on.
 #[derive(Debug, thiserror::Error)]
@@ -25,24 +25,31 @@
     #[error("events were left out; they are asked for again")]
     Gap,
     #[error("{0}; it is asked for again")]
-    Unreadable(discovery::DiscoveryError),
+    Invalid(discovery::DiscoveryError),
 }
 
 /// The bulletin as this director follows it.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    line: Option<Line>,
-    up: bool,
-    last: u64,
+    connection: Option<Line>,
+    connected: bool,
+    last_event: u64,
     /// By when something must be heard, or when to connect again.
-    due: Micros,
-    back_off: Micros,
+    deadline: Micros,
+    reconnect_delay: Micros,
 }
 
 impl DiscoveryClient {
     /// Follows the bulletin at an address from after an event.
-    pub fn new(address: SocketAddr, last: u64) -> Self {
-        DiscoveryClient { address, line: None, up: false, last, due: 0, back_off: BACK_OFF_US }
+    pub fn new(address: SocketAddr, last_event: u64) -> Self {
+        DiscoveryClient {
+            address,
+            connection: None,
+            connected: false,
+            last_event,
+            deadline: 0,
+            reconnect_delay: MIN_RECONNECT_DELAY_US,
+        }
     }
 
     /// Follows the bulletin at another address from here on, beginning after the last event heard.
@@ -50,88 +57,88 @@
         if address == self.address {
             return;
         }
-        info!(shared.log, "the bulletin has moved"; "to" => %address, "after" => self.last);
-        (self.address, self.line, self.back_off) = (address, None, BACK_OFF_US);
-        self.due = shared.now;
+        info!(shared.log, "the bulletin has moved"; "to" => %address, "after" => self.last_event);
+        (self.address, self.connection, self.reconnect_delay) = (address, None, MIN_RECONNECT_DELAY_US);
+        self.deadline = shared.now;
         self.check_deadline(shared);
     }
 
     /// Looks after the connection when a deadline of it has come.
     pub fn check_deadline(&mut self, shared: &mut Shared) {
-        if shared.now < self.due {
+        if shared.now < self.deadline {
             return; // something was heard meanwhile
         }
-        if self.line.is_some() {
-            return self.broke(shared, "silent");
+        if self.connection.is_some() {
+            return self.connection_failed(shared, "silent");
         }
         match Line::dial(&mut shared.poll, self.address) {
-            Ok(line) => {
-                (self.line, self.up) = (Some(line), false);
-                self.expect(shared, DIAL_US);
+            Ok(connection) => {
+                (self.connection, self.connected) = (Some(connection), false);
+                self.set_deadline(shared, CONNECT_TIMEOUT_US);
             }
-            Err(why) => self.broke(shared, &why.to_string()),
+            Err(error) => self.connection_failed(shared, &error.to_string()),
         }
     }
 
-    fn expect(&mut self, shared: &mut Shared, within: Micros) {
-        self.due = shared.now.saturating_add(within);
-        shared.deadlines.set(self.due, Due::Bulletin);
+    fn set_deadline(&mut self, shared: &mut Shared, delay: Micros) {
+        self.deadline = shared.now.saturating_add(delay);
+        shared.deadlines.set(self.deadline, Due::Bulletin);
     }
 
-    fn broke(&mut self, shared: &mut Shared, why: &str) {
+    fn connection_failed(&mut self, shared: &mut Shared, reason: &str) {
         shared.counters.bulletin_breaks += 1;
-        warn!(shared.log, "bulletin broke off: {why}"; "after" => self.last);
-        self.line = None;
-        let wait = self.back_off;
-        self.back_off = (wait * 2).min(BACK_OFF_MOST_US);
-        self.expect(shared, wait);
+        warn!(shared.log, "bulletin broke off: {reason}"; "after" => self.last_event);
+        self.connection = None;
+        let delay = self.reconnect_delay;
+        self.reconnect_delay = (delay * 2).min(MAX_RECONNECT_DELAY_US);
+        self.set_deadline(shared, delay);
     }
 
     /// Reads and writes its connection; returns the new events, in order and each once.
-    fn exchange(&mut self, shared: &mut Shared, Ready { readable, writable, .. }: Ready) -> Vec<Event> {
-        let Some(line) = self.line.as_mut() else { return Vec::new() };
-        if writable && !self.up {
-            if let Err(why) = line.outcome() {
-                self.broke(shared, &why.to_string());
+    fn handle_io(&mut self, shared: &mut Shared, Ready { readable, writable, .. }: Ready) -> Vec<Event> {
+        let Some(connection) = self.connection.as_mut() else { return Vec::new() };
+        if writable && !self.connected {
+            if let Err(error) = connection.outcome() {
+                self.connection_failed(shared, &error.to_string());
                 return Vec::new();
             }
-            self.up = true;
-            line.put(&discovery::encode_request_after(self.last));
-            self.expect(shared, SILENT_US);
+            self.connected = true;
+            connection.put(&discovery::encode_request_after(self.last_event));
+            self.set_deadline(shared, HEARTBEAT_TIMEOUT_US);
         }
-        let Some(line) = self.line.as_mut() else { return Vec::new() };
-        if writable && let Err(why) = line.write() {
-            self.broke(shared, &why.to_string());
+        let Some(connection) = self.connection.as_mut() else { return Vec::new() };
+        if writable && let Err(error) = connection.write() {
+            self.connection_failed(shared, &error.to_string());
             return Vec::new();
         }
         if !readable {
             return Vec::new();
         }
-        let got = line.read();
-        let (lines, endless) = line.take(whole_line);
+        let read = connection.read();
+        let (lines, oversized) = connection.take(split_line);
         if !lines.is_empty() {
-            self.expect(shared, SILENT_US);
+            self.set_deadline(shared, HEARTBEAT_TIMEOUT_US);
         }
-        let mut news = Vec::new();
-        for text in lines.iter().filter(|l| !l.is_empty()) {
-            match self.accept(shared, text) {
-                Ok(event) => news.extend(event),
-                Err(why) => {
-                    self.broke(shared, &why.to_string());
-                    return news;
+        let mut events = Vec::new();
+        for line in lines.iter().filter(|line| !line.is_empty()) {
+            match self.process_line(shared, line) {
+                Ok(event) => events.extend(event),
+                Err(error) => {
+                    self.connection_failed(shared, &error.to_string());
+                    return events;
                 }
             }
         }
-        match got {
-            _ if endless.is_some() => {
+        match read {
+            _ if oversized.is_some() => {
                 shared.counters.malformed += 1;
-                self.broke(shared, "an endless line");
+                self.connection_failed(shared, "an endless line");
             }
             Ok(Got::Bytes) => {}
-            Ok(Got::End) => self.broke(shared, "closed"),
-            Err(why) => self.broke(shared, &why.to_string()),
+            Ok(Got::End) => self.connection_failed(shared, "closed"),
+            Err(error) => self.connection_failed(shared, &error.to_string()),
         }
-        news
+        events
     }
 }
 
@@ -139,53 +146,53 @@
     /// Takes one line: an event that comes next, or nothing where there is none in it. Only what moves on or
     /// confirms the last number shortens the wait before the next connection: a source that goes on with what
     /// is of no use is not asked again and again at once.
-    fn accept(&mut self, shared: &mut Shared, text: &[u8]) -> Result<Option<Event>, LineError> {
-        let event = match discovery::parse_line(text) {
-            Ok(Message::Heartbeat(last)) if last > self.last => return Err(LineError::Gap),
+    fn process_line(&mut self, shared: &mut Shared, line: &[u8]) -> Result<Option<Event>, LineError> {
+        let event = match discovery::parse_line(line) {
+            Ok(Message::Heartbeat(last)) if last > self.last_event => return Err(LineError::Gap),
             Ok(Message::Heartbeat(_)) => None,
-            Ok(Message::Event(event)) if event.number <= self.last => {
+            Ok(Message::Event(event)) if event.number <= self.last_event => {
                 debug!(shared.log, "an event came twice"; "no" => event.number);
                 return Ok(None);
             }
             // A whole list stands for all events before it.
-            Ok(Message::Event(event)) if event.number > self.last + 1 && !event.is_full_list() => {
+            Ok(Message::Event(event)) if event.number > self.last_event + 1 && !event.is_full_list() => {
                 return Err(LineError::Gap);
             }
             Ok(Message::Event(event)) => Some(event),
-            Err(why) => {
+            Err(error) => {
                 shared.counters.malformed += 1;
-                return Err(LineError::Unreadable(why));
+                return Err(LineError::Invalid(error));
             }
         };
-        self.last = event.as_ref().map_or(self.last, |event| event.number);
-        self.back_off = BACK_OFF_US;
+        self.last_event = event.as_ref().map_or(self.last_event, |event| event.number);
+        self.reconnect_delay = MIN_RECONNECT_DELAY_US;
         Ok(event)
     }
 }
 
 impl Part for DiscoveryClient {
     fn owns(&self, token: Token) -> bool {
-        self.line.as_ref().is_some_and(|l| l.token() == token)
+        self.connection.as_ref().is_some_and(|connection| connection.token() == token)
     }
 
     fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
-        let news = self.exchange(shared, ready);
-        shared.heard.extend(news.into_iter().map(Heard::Notice));
+        let events = self.handle_io(shared, ready);
+        shared.heard.extend(events.into_iter().map(Heard::Notice));
     }
 
     fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
-        let own = due == Due::Bulletin;
-        if own {
+        let owned = due == Due::Bulletin;
+        if owned {
             self.check_deadline(shared);
         }
-        own
+        owned
     }
 }
 
-fn whole_line(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ()> {
-    match bytes.iter().position(|b| *b == b'\n') {
+fn split_line(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ()> {
+    match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) => Ok(Some((bytes.get(..end).unwrap_or_default().to_vec(), end + 1))),
-        None if bytes.len() > LINE_MOST => Err(()),
+        None if bytes.len() > MAX_LINE_BYTES => Err(()),
         None => Ok(None),
     }
 }
--- a/src/platform/admin.rs
+++ b/src/platform/admin.rs
@@ -4,7 +4,7 @@
 
 /// The longest head of a call, bytes.
 pub const MAX_HEAD_BYTES: usize = 4 * 1024;
-const HEADERS_MAX: usize = 32;
+const MAX_HEADERS: usize = 32;
 
 /// What operators ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,9 +49,9 @@
 /// Reads one call's head; `None` where it is not whole yet. Also tells how many bytes it took. A body is left
 /// unread: none of the calls has one.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(AdminRequest, usize)>, AdminError> {
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_MAX];
-    let mut call = httparse::Request::new(&mut slots);
-    let length = match call.parse(bytes.get(..MAX_HEAD_BYTES.min(bytes.len())).unwrap_or_default()) {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    let length = match request.parse(bytes.get(..MAX_HEAD_BYTES.min(bytes.len())).unwrap_or_default()) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => {
             return Err(AdminError::HeadTooLong);
@@ -60,21 +60,25 @@
         Err(httparse::Error::TooManyHeaders) => return Err(AdminError::HeadTooLong),
         Err(_) => return Err(AdminError::Malformed),
     };
-    let path = call.path.unwrap_or_default();
+    let path = request.path.unwrap_or_default();
     let path = path.split(['?', '#']).next().unwrap_or_default();
-    let (method, wanted) = match path {
+    let (expected_method, parsed) = match path {
         "/_ready" => ("GET", AdminRequest::Ready),
         "/_vars" => ("GET", AdminRequest::Vars),
         "/_lameduck/on" => ("PUT", AdminRequest::LameDuck(true)),
         "/_lameduck/off" => ("PUT", AdminRequest::LameDuck(false)),
         _ => return Err(AdminError::UnknownPath),
     };
-    if call.method == Some(method) { Ok(Some((wanted, length))) } else { Err(AdminError::WrongMethod) }
+    if request.method == Some(expected_method) {
+        Ok(Some((parsed, length)))
+    } else {
+        Err(AdminError::WrongMethod)
+    }
 }
 
 /// An answer, after which the connection is closed.
 pub fn encode_response(status: u16, body: &str) -> Vec<u8> {
-    let reason = match status {
+    let reason_phrase = match status {
         200 => "OK",
         400 => "Bad Request",
         404 => "Not Found",
@@ -84,13 +88,13 @@
         503 => "Service Unavailable",
         _ => "Status",
     };
-    let mut text = String::with_capacity(128 + body.len());
+    let mut response = String::with_capacity(128 + body.len());
     // Writing into a string does not fail.
     let _ = write!(
-        text,
-        "HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
+        response,
+        "HTTP/1.1 {status} {reason_phrase}\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
          Connection: close\r\n\r\n{body}",
         body.len()
     );
-    text.into_bytes()
+    response.into_bytes()
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -12,20 +12,20 @@
     #[error("LB_CONFIG names no configuration file")]
     PathNotSet,
     /// The file can't be read.
-    #[error("configuration {path}: {why}")]
+    #[error("configuration {path}: {error}")]
     Unreadable {
         /// The file.
         path: String,
         /// Why not.
-        why: std::io::Error,
+        error: std::io::Error,
     },
     /// The file is not JSON of the right form.
-    #[error("configuration {path}: {why}")]
+    #[error("configuration {path}: {error}")]
     Malformed {
         /// The file.
         path: String,
         /// Why not.
-        why: serde_json::Error,
+        error: serde_json::Error,
     },
     /// A value is of no use.
     #[error("configuration: {0}")]
@@ -102,12 +102,12 @@
     fn apply_env(&mut self, var: impl Fn(&str) -> Option<String>) -> Result<(), ConfigError> {
         let value = |name: &str| var(name).map(|v| v.trim().to_owned()).filter(|v| !v.is_empty());
         if let Some(text) = value("LB_ADMIN_ADDR") {
-            let at = text.parse().map_err(|_| {
+            let address = text.parse().map_err(|_| {
                 ConfigError::InvalidValue(format!(
                     "LB_ADMIN_ADDR {text:?} is no address such as 127.0.0.1:9000"
                 ))
             });
-            self.admin_addr = Some(at?);
+            self.admin_addr = Some(address?);
         }
         if let Some(text) = value("LB_INHERITED_FD") {
             let fd = text.parse().ok().filter(|fd| *fd > 2).ok_or_else(|| {
@@ -124,10 +124,10 @@
     /// Reads a file.
     pub fn from_file(file: &Path) -> Result<Self, ConfigError> {
         let path = file.display().to_string();
-        let text = std::fs::read(file);
-        let text = text.map_err(|why| ConfigError::Unreadable { path: path.clone(), why })?;
+        let content = std::fs::read(file);
+        let content = content.map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
         let mut config: Config =
-            serde_json::from_slice(&text).map_err(|why| ConfigError::Malformed { path, why })?;
+            serde_json::from_slice(&content).map_err(|error| ConfigError::Malformed { path, error })?;
         config.seed()?;
         if config.limits.sockets < MIN_SOCKETS {
             let sockets = config.limits.sockets;
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -113,29 +113,29 @@
 
     /// Its entries. One that can't be used takes none of the others along.
     pub fn resolve_members(&self, names: &mut NameRegistry) -> ResolvedMembers {
-        let mut members = ResolvedMembers::default();
-        for m in &self.members {
-            let Ok(address) = m.host_port.parse() else {
-                let (id, address) = (m.id.clone(), m.host_port.clone());
-                members.errors.push(MemberError::Address { id, address });
+        let mut resolved = ResolvedMembers::default();
+        for member in &self.members {
+            let Ok(address) = member.host_port.parse() else {
+                let (id, address) = (member.id.clone(), member.host_port.clone());
+                resolved.errors.push(MemberError::Address { id, address });
                 continue;
             };
-            let standing = match m.phase.as_str() {
+            let standing = match member.phase.as_str() {
                 "in_service" => Standing::Up,
                 "terminating" => Standing::Draining,
                 "terminated" => Standing::Gone,
                 state => {
-                    let (id, state) = (m.id.clone(), state.to_owned());
-                    members.errors.push(MemberError::State { id, state });
+                    let (id, state) = (member.id.clone(), state.to_owned());
+                    resolved.errors.push(MemberError::State { id, state });
                     Standing::Draining
                 }
             };
-            let started_at: Micros = m.up_since_ms.saturating_mul(1000);
-            let (weight, cell) = (m.size, m.cell);
-            let (zone, kind) = (m.locality.as_str(), m.flavor.as_str());
-            let listed = NamedEntry { streamer: &m.id, zone, kind, cell, standing, weight, started_at };
-            members.entries.push((names.entry(&listed), address));
+            let started_at: Micros = member.up_since_ms.saturating_mul(1000);
+            let (weight, cell) = (member.size, member.cell);
+            let (zone, kind) = (member.locality.as_str(), member.flavor.as_str());
+            let entry = NamedEntry { streamer: &member.id, zone, kind, cell, standing, weight, started_at };
+            resolved.entries.push((names.entry(&entry), address));
         }
-        members
+        resolved
     }
 }
