--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,8 @@
-//! The operators' door: its listener and the callers on it. It owns their sockets and their time; what a call
-//! does is said by whoever hears it. Callers that say nothing cost a place for a while, and give it up to the
-//! next one where all are taken.
+//! The server of the admin interface: its listener and its connections.
+//!
+//! It owns the sockets and their timeouts; requests are passed on as [`Heard::Call`] and carried out
+//! elsewhere. An idle connection holds a slot for a limited time, and is evicted for a new one when all slots
+//! are in use.
 use super::line::{Got, Line};
 use super::part::{Part, Ready};
 use super::poll::{Token, Watched};
@@ -13,44 +15,44 @@
 use std::io;
 use std::net::TcpListener;
 
-/// Callers held at once, and with them the descriptors that the door needs, its listener among them.
+/// Maximum number of open connections, which also bounds the descriptors in use.
 const MAX_CONNECTIONS: usize = 24;
-/// Descriptors of the door.
+/// Maximum number of descriptors in use: the connections and the listener.
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
-/// A caller has so long to say its first word before it may make room for another: with all places taken by
-/// callers that say nothing, more than a thousand a second are let through.
+/// Time that a connection has to send its request before it may be evicted. With all slots held by idle
+/// connections, more than a thousand new ones per second are still accepted.
 const REQUEST_GRACE_US: Micros = 15_000;
-/// A caller is closed after so long, whatever it said.
+/// Time after which a connection is closed in any state.
 const MAX_CONNECTION_AGE_US: Micros = 5_000_000;
-/// Pause of the listener while all places are taken.
+/// Pause in accepting connections while all slots are in use.
 const ACCEPT_PAUSE_US: Micros = 5_000;
 
-/// How far a caller is.
+/// Progress of a connection's request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestState {
-    /// Its call has not come whole.
+    /// The request has not been received completely.
     Reading,
-    /// Its call waits for the answer, in this turn.
+    /// The request was received; it is answered in the same turn of the loop.
     Pending,
-    /// It has its answer; what is left is that it reads it.
+    /// The response is queued or sent; the client may still have to read it.
     Responded,
 }
 
-/// A connection.
+/// A connection of a client.
 struct Connection {
     line: Line,
     accepted_at: Micros,
     state: RequestState,
 }
 
-/// The door.
+/// Server of the admin interface.
 pub struct AdminServer {
     listener: Watched<TcpListener>,
     connections: BTreeMap<Token, Connection>,
 }
 
 impl AdminServer {
-    /// Takes calls from a listener.
+    /// Creates a server that accepts connections from `listener`.
     pub fn new(shared: &mut Shared, listener: TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         Ok(AdminServer { listener: shared.poll.watch(listener, false)?, connections: BTreeMap::new() })
@@ -59,7 +61,7 @@
     fn accept(&mut self, shared: &mut Shared) {
         loop {
             if self.connections.len() >= MAX_CONNECTIONS && !self.evict_connection(shared) {
-                return self.pause_accepting(shared); // the backlog keeps them
+                return self.pause_accepting(shared); // further connections wait in the backlog
             }
             match self.listener.source().accept() {
                 Ok((stream, _)) => match Line::accepted(&mut shared.poll, stream) {
@@ -70,10 +72,10 @@
                             Connection { line, accepted_at: shared.now, state: RequestState::Reading },
                         );
                         shared.wake(MAX_CONNECTION_AGE_US, Due::Door(token));
-                        // A caller mostly has its call ready.
+                        // The request has usually arrived already.
                         self.handle_io(shared, Ready { token, readable: true, writable: false });
                     }
-                    Err(error) => warn!(shared.log, "a caller could not be taken: {error}"),
+                    Err(error) => warn!(shared.log, "can't set up an admin connection: {error}"),
                 },
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
@@ -83,14 +85,15 @@
                     if self.evict_connection(shared) {
                         continue;
                     }
-                    warn!(shared.log, "no call can be taken: {error}");
+                    warn!(shared.log, "can't accept an admin connection: {error}");
                     return self.pause_accepting(shared);
                 }
             }
         }
     }
 
-    /// Lets the caller go that is here longest, if it had its time; best one that was answered.
+    /// Closes the oldest connection that may be evicted, preferably one that was answered. Returns whether
+    /// there was one.
     fn evict_connection(&mut self, shared: &mut Shared) -> bool {
         let evictable = |connection: &&Connection| match connection.state {
             RequestState::Reading => connection.accepted_at.saturating_add(REQUEST_GRACE_US) <= shared.now,
@@ -123,9 +126,10 @@
             self.flush(shared, token);
         }
         let Some(connection) = self.connections.get_mut(&token).filter(|_| readable) else { return };
-        let read = connection.line.read();
+        let read_result = connection.line.read();
         if connection.state != RequestState::Reading {
-            // One call a connection: what else it says is read, so that it can read its answer, and dropped.
+            // One request per connection. Further input is read and discarded, so that the client can read
+            // its response.
             connection.line.discard();
         } else {
             match connection.line.take_one(admin::parse_request) {
@@ -138,24 +142,24 @@
                 Err(error) => self.reject(shared, token, error),
             }
         }
-        // One that has ended its own side may still read the answer that is on its way to it.
+        // A client that has shut down its sending side may still read the response.
         let finished = |connection: &Connection| {
             connection.state == RequestState::Reading
                 || (connection.state == RequestState::Responded && connection.line.unwritten() == 0)
         };
-        let ended = matches!(read, Ok(Got::End)) && self.connections.get(&token).is_some_and(finished);
-        if ended || read.is_err() {
+        let ended = matches!(read_result, Ok(Got::End)) && self.connections.get(&token).is_some_and(finished);
+        if ended || read_result.is_err() {
             self.close(shared, token);
         }
     }
 
     fn reject(&mut self, shared: &mut Shared, token: Token, error: AdminError) {
-        debug!(shared.log, "a call can't be answered: {error}");
+        debug!(shared.log, "invalid admin request: {error}");
         shared.counters.calls_unusable += 1;
         self.respond(shared, token, error.status(), &format!("{error}\n"));
     }
 
-    /// Answers a call.
+    /// Sends the response to a connection's request.
     pub fn respond(&mut self, shared: &mut Shared, token: Token, status: u16, body: &str) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.state = RequestState::Responded;
@@ -175,7 +179,7 @@
             Err(error) => Err(error),
         };
         if let Err(error) = result {
-            debug!(shared.log, "a caller is gone: {error}");
+            debug!(shared.log, "admin connection lost: {error}");
             self.close(shared, token);
         }
     }
@@ -198,7 +202,7 @@
         let Due::Door(token) = due else { return false };
         if self.listener.token() == token {
             if let Err(error) = self.listener.interest(true, false) {
-                warn!(shared.log, "the operators' door can't be watched: {error}");
+                warn!(shared.log, "can't resume accepting admin connections: {error}");
             }
             self.accept(shared);
         } else {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,7 @@
-//! The connection to the bulletin: resumed where it broke off, given up when it falls silent.
+//! The connection to discovery, which sends the changes of the streamer list as numbered events.
+//!
+//! After an interruption the client reconnects and requests the events after the last one it has. It closes a
+//! connection on which the heartbeats stop.
 use super::line::{Got, Line};
 use super::part::{Part, Ready};
 use super::poll::Token;
@@ -10,37 +13,40 @@
 use slog::{debug, info, warn};
 use std::net::SocketAddr;
 
-/// The bulletin writes every second; silent for this long it is taken for broken.
+/// Time without a line after which a connection counts as broken; discovery sends a heartbeat every second.
 const HEARTBEAT_TIMEOUT_US: Micros = 1_800_000;
-/// A connection must be up by then.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT_US: Micros = 500_000;
+/// Delay before the first reconnection; it doubles with each further failure.
 const MIN_RECONNECT_DELAY_US: Micros = 50_000;
+/// Upper bound of the delay before a reconnection.
 const MAX_RECONNECT_DELAY_US: Micros = 1_000_000;
-/// The longest line: a whole list of a large fleet.
+/// Maximum length of a line, which may hold the full list of a large fleet.
 const MAX_LINE_BYTES: usize = 64 * MAX_MESSAGE_BYTES;
 
-/// Why a line ends the connection that it came on.
+/// Why a line makes the client close the connection.
 #[derive(Debug, thiserror::Error)]
 enum LineError {
-    #[error("events were left out; they are asked for again")]
+    #[error("events are missing; requesting them again")]
     Gap,
-    #[error("{0}; it is asked for again")]
+    #[error("{0}; requesting the event again")]
     Invalid(discovery::DiscoveryError),
 }
 
-/// The bulletin as this director follows it.
+/// Client of the discovery service.
 pub struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Line>,
     connected: bool,
     last_event: u64,
-    /// By when something must be heard, or when to connect again.
+    /// With a connection: when it times out. Without one: when to reconnect.
     deadline: Micros,
     reconnect_delay: Micros,
 }
 
 impl DiscoveryClient {
-    /// Follows the bulletin at an address from after an event.
+    /// Creates a client that requests the events after `last_event`. It connects on the first call of
+    /// [`DiscoveryClient::check_deadline`].
     pub fn new(address: SocketAddr, last_event: u64) -> Self {
         DiscoveryClient {
             address,
@@ -52,24 +58,24 @@
         }
     }
 
-    /// Follows the bulletin at another address from here on, beginning after the last event heard.
+    /// Switches to another address, if it differs, and requests the events after the last one received.
     pub fn set_address(&mut self, shared: &mut Shared, address: SocketAddr) {
         if address == self.address {
             return;
         }
-        info!(shared.log, "the bulletin has moved"; "to" => %address, "after" => self.last_event);
+        info!(shared.log, "discovery address changed"; "to" => %address, "after" => self.last_event);
         (self.address, self.connection, self.reconnect_delay) = (address, None, MIN_RECONNECT_DELAY_US);
         self.deadline = shared.now;
         self.check_deadline(shared);
     }
 
-    /// Looks after the connection when a deadline of it has come.
+    /// Once the deadline has passed, closes a connection that timed out, or connects if there is none.
     pub fn check_deadline(&mut self, shared: &mut Shared) {
         if shared.now < self.deadline {
-            return; // something was heard meanwhile
+            return; // something was received in the meantime
         }
         if self.connection.is_some() {
-            return self.connection_failed(shared, "silent");
+            return self.connection_failed(shared, "timed out");
         }
         match Line::dial(&mut shared.poll, self.address) {
             Ok(connection) => {
@@ -87,14 +93,14 @@
 
     fn connection_failed(&mut self, shared: &mut Shared, reason: &str) {
         shared.counters.bulletin_breaks += 1;
-        warn!(shared.log, "bulletin broke off: {reason}"; "after" => self.last_event);
+        warn!(shared.log, "discovery connection failed: {reason}"; "after" => self.last_event);
         self.connection = None;
         let delay = self.reconnect_delay;
         self.reconnect_delay = (delay * 2).min(MAX_RECONNECT_DELAY_US);
         self.set_deadline(shared, delay);
     }
 
-    /// Reads and writes its connection; returns the new events, in order and each once.
+    /// Reads from and writes to the connection. Returns the new events, each once and in order.
     fn handle_io(&mut self, shared: &mut Shared, Ready { readable, writable, .. }: Ready) -> Vec<Event> {
         let Some(connection) = self.connection.as_mut() else { return Vec::new() };
         if writable && !self.connected {
@@ -114,7 +120,7 @@
         if !readable {
             return Vec::new();
         }
-        let read = connection.read();
+        let read_result = connection.read();
         let (lines, oversized) = connection.take(split_line);
         if !lines.is_empty() {
             self.set_deadline(shared, HEARTBEAT_TIMEOUT_US);
@@ -129,13 +135,13 @@
                 }
             }
         }
-        match read {
+        match read_result {
             _ if oversized.is_some() => {
                 shared.counters.malformed += 1;
-                self.connection_failed(shared, "an endless line");
+                self.connection_failed(shared, "line exceeds the size limit");
             }
             Ok(Got::Bytes) => {}
-            Ok(Got::End) => self.connection_failed(shared, "closed"),
+            Ok(Got::End) => self.connection_failed(shared, "closed by the peer"),
             Err(error) => self.connection_failed(shared, &error.to_string()),
         }
         events
@@ -143,18 +149,19 @@
 }
 
 impl DiscoveryClient {
-    /// Takes one line: an event that comes next, or nothing where there is none in it. Only what moves on or
-    /// confirms the last number shortens the wait before the next connection: a source that goes on with what
-    /// is of no use is not asked again and again at once.
+    /// Processes one line. Returns the next event, or `None` for a heartbeat or a duplicate.
+    ///
+    /// Only a line that advances or confirms the number of the last event resets the reconnection delay.
+    /// Otherwise a service that keeps sending unusable lines would be contacted again at once each time.
     fn process_line(&mut self, shared: &mut Shared, line: &[u8]) -> Result<Option<Event>, LineError> {
         let event = match discovery::parse_line(line) {
             Ok(Message::Heartbeat(last)) if last > self.last_event => return Err(LineError::Gap),
             Ok(Message::Heartbeat(_)) => None,
             Ok(Message::Event(event)) if event.number <= self.last_event => {
-                debug!(shared.log, "an event came twice"; "no" => event.number);
+                debug!(shared.log, "duplicate event"; "no" => event.number);
                 return Ok(None);
             }
-            // A whole list stands for all events before it.
+            // A full list supersedes all events before it.
             Ok(Message::Event(event)) if event.number > self.last_event + 1 && !event.is_full_list() => {
                 return Err(LineError::Gap);
             }
--- a/src/platform/admin.rs
+++ b/src/platform/admin.rs
@@ -1,41 +1,44 @@
-//! The operators' calls: HTTP/1.1 as far as a door with four calls needs it, one call a connection.
-//! `httparse` reads it; nothing here knows what a call does.
+//! Requests and responses of the admin interface: the part of HTTP/1.1 that its four requests need, with one
+//! request per connection.
+//!
+//! `httparse` does the parsing. What a request does is defined elsewhere.
 use std::fmt::Write;
 
-/// The longest head of a call, bytes.
+/// Maximum length of a request's head.
 pub const MAX_HEAD_BYTES: usize = 4 * 1024;
+/// Maximum number of header lines in a request.
 const MAX_HEADERS: usize = 32;
 
-/// What operators ask.
+/// A request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Does this process take clients?
+    /// Asks whether this process accepts clients.
     Ready,
-    /// The figures.
+    /// Asks for the metrics.
     Vars,
-    /// Send clients away, or take them again.
+    /// Enters the lame-duck state (`true`), in which clients are sent away, or leaves it (`false`).
     LameDuck(bool),
 }
 
-/// A call that can't be answered with a yes.
+/// A request that is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
-    /// It is not HTTP.
-    #[error("this is no HTTP call; ask as in GET /_ready HTTP/1.1")]
+    /// The request is not HTTP.
+    #[error("not an HTTP request; send for example GET /_ready HTTP/1.1")]
     Malformed,
-    /// It is too long.
-    #[error("a call's head has {MAX_HEAD_BYTES} bytes at most; leave header lines out")]
+    /// The head is too long or has too many header lines.
+    #[error("the request head may have at most {MAX_HEAD_BYTES} bytes; omit header lines")]
     HeadTooLong,
-    /// Nothing has this path.
-    #[error("no such call; there are GET /_ready, GET /_vars, PUT /_lameduck/on, PUT /_lameduck/off")]
+    /// The path is unknown.
+    #[error("unknown path; use GET /_ready, GET /_vars, PUT /_lameduck/on or PUT /_lameduck/off")]
     UnknownPath,
-    /// The path has another method.
-    #[error("wrong method; /_ready and /_vars are asked with GET, /_lameduck/on and off with PUT")]
+    /// The path requires another method.
+    #[error("wrong method; use GET for /_ready and /_vars, PUT for /_lameduck/on and /_lameduck/off")]
     WrongMethod,
 }
 
 impl AdminError {
-    /// The status that answers it.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             AdminError::Malformed => 400,
@@ -46,8 +49,8 @@
     }
 }
 
-/// Reads one call's head; `None` where it is not whole yet. Also tells how many bytes it took. A body is left
-/// unread: none of the calls has one.
+/// Parses the head of a request. Returns the request and the length of the head in bytes, or `None` if the
+/// head is incomplete. A body is not read, since no request has one.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(AdminRequest, usize)>, AdminError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -76,9 +79,9 @@
     }
 }
 
-/// An answer, after which the connection is closed.
+/// Encodes a response, which announces that the connection is closed after it.
 pub fn encode_response(status: u16, body: &str) -> Vec<u8> {
-    let reason_phrase = match status {
+    let reason = match status {
         200 => "OK",
         400 => "Bad Request",
         404 => "Not Found",
@@ -89,10 +92,10 @@
         _ => "Status",
     };
     let mut response = String::with_capacity(128 + body.len());
-    // Writing into a string does not fail.
+    // Writing to a string is infallible.
     let _ = write!(
         response,
-        "HTTP/1.1 {status} {reason_phrase}\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
+        "HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
          Connection: close\r\n\r\n{body}",
         body.len()
     );
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,51 +1,51 @@
-//! What a director is told at its start: the JSON file that `LB_CONFIG` names.
+//! A director's configuration: the JSON file that `LB_CONFIG` names, and environment variables beside it.
 use super::discovery::Event;
 use crate::settings::{NameError, RawSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A configuration that a director can't start with.
+/// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
-    #[error("LB_CONFIG names no configuration file")]
+    #[error("no configuration file; set LB_CONFIG to its path")]
     PathNotSet,
     /// The file can't be read.
     #[error("configuration {path}: {error}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// Why it can't be read.
         error: std::io::Error,
     },
-    /// The file is not JSON of the right form.
+    /// The file is not JSON of the expected form.
     #[error("configuration {path}: {error}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// Why it can't be parsed.
         error: serde_json::Error,
     },
-    /// A value is of no use.
+    /// A value is invalid.
     #[error("configuration: {0}")]
     InvalidValue(String),
-    /// The settings in it are of no use.
+    /// The settings are invalid.
     #[error("configuration: {0}")]
     Settings(#[from] NameError),
 }
 
-/// The limits of one director.
+/// Resource limits of a director.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
-    /// Descriptors that its process may hold.
+    /// Maximum number of descriptors that the process may have open.
     pub sockets: usize,
 }
 
-/// The events of the bulletin up to the start.
+/// The discovery events that are known at the start.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct KnownEvents {
-    /// The last event's number.
+    /// Number of the last event.
     #[serde(rename = "no")]
     pub last_event: u64,
     /// The events.
@@ -58,35 +58,35 @@
 pub struct Config {
     /// The director's name.
     pub name: String,
-    /// Where viewers connect.
+    /// Address on which viewers connect.
     pub listen: SocketAddr,
-    /// The seed of its random numbers, in hex.
+    /// Seed of the random number generator, in hexadecimal.
     seed: String,
-    /// Its limits.
+    /// Resource limits.
     pub limits: Limits,
-    /// Where the bulletin is.
+    /// Address of the discovery service.
     pub bulletin: SocketAddr,
-    /// Where operators call; without it there is no door for them. `LB_ADMIN_ADDR` goes before it, where the
-    /// configuration is the platform's.
+    /// Address of the admin interface; without one there is none. `LB_ADMIN_ADDR` takes precedence if the
+    /// configuration comes from the platform ([`Config::from_env`]).
     #[serde(default)]
     pub admin_addr: Option<SocketAddr>,
-    /// What the bulletin has told so far.
+    /// The discovery events so far.
     #[serde(default)]
     pub known: KnownEvents,
-    /// The module's settings.
+    /// The settings of the core.
     pub settings: RawSettings,
-    /// The file it was read from, where it was.
+    /// The file that the configuration was read from, if any.
     #[serde(skip)]
     file: Option<PathBuf>,
-    /// The number of the clients' listening socket, where the platform holds it and hands it down.
+    /// Descriptor of the viewers' listening socket, if the platform holds it and passes it to the process.
     #[serde(skip)]
     pub inherited_fd: Option<i32>,
-    /// The folder that a director's processes share, where the platform replaces them.
+    /// Directory shared by the successive processes of a director, if the platform replaces them.
     #[serde(skip)]
     shared_dir: Option<PathBuf>,
 }
 
-/// The fewest descriptors that a director can work with.
+/// Minimum number of descriptors that a director needs.
 const MIN_SOCKETS: usize = 32;
 
 impl Config {
@@ -98,13 +98,13 @@
         Ok(config)
     }
 
-    /// Takes what the platform says beside the file.
+    /// Applies the environment variables that the platform sets besides the file.
     fn apply_env(&mut self, var: impl Fn(&str) -> Option<String>) -> Result<(), ConfigError> {
         let value = |name: &str| var(name).map(|v| v.trim().to_owned()).filter(|v| !v.is_empty());
         if let Some(text) = value("LB_ADMIN_ADDR") {
             let address = text.parse().map_err(|_| {
                 ConfigError::InvalidValue(format!(
-                    "LB_ADMIN_ADDR {text:?} is no address such as 127.0.0.1:9000"
+                    "LB_ADMIN_ADDR {text:?} is not an address such as 127.0.0.1:9000"
                 ))
             });
             self.admin_addr = Some(address?);
@@ -112,7 +112,7 @@
         if let Some(text) = value("LB_INHERITED_FD") {
             let fd = text.parse().ok().filter(|fd| *fd > 2).ok_or_else(|| {
                 ConfigError::InvalidValue(format!(
-                    "LB_INHERITED_FD {text:?} is no descriptor's number above 2"
+                    "LB_INHERITED_FD {text:?} is not a descriptor number above 2"
                 ))
             });
             self.inherited_fd = Some(fd?);
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Reads a file.
+    /// Reads and checks a configuration file. The environment is not consulted.
     pub fn from_file(file: &Path) -> Result<Self, ConfigError> {
         let path = file.display().to_string();
         let content = std::fs::read(file);
@@ -132,26 +132,29 @@
         if config.limits.sockets < MIN_SOCKETS {
             let sockets = config.limits.sockets;
             return Err(ConfigError::InvalidValue(format!(
-                "{sockets} sockets are too few, {MIN_SOCKETS} needed"
+                "limits.sockets is {sockets}; at least {MIN_SOCKETS} are needed"
             )));
         }
         config.file = Some(file.to_owned());
         Ok(config)
     }
 
-    /// The folder that the director's processes share; none where the platform does not replace them.
+    /// Directory shared by the successive processes of the director; `None` if the platform does not replace
+    /// them.
     pub fn shared_dir(&self) -> Option<&Path> {
         self.shared_dir.as_deref()
     }
 
-    /// The file it was read from.
+    /// The file that the configuration was read from.
     pub fn file(&self) -> Option<&Path> {
         self.file.as_deref()
     }
 
-    /// The seed of the director's random numbers.
+    /// Seed of the random number generator.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         let seed = u64::from_str_radix(self.seed.trim_start_matches("0x"), 16);
-        seed.map_err(|_| ConfigError::InvalidValue(format!("seed {:?} is not a hex number", self.seed)))
+        seed.map_err(|_| {
+            ConfigError::InvalidValue(format!("seed {:?} is not a hexadecimal number", self.seed))
+        })
     }
 }
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -1,58 +1,61 @@
-//! The lines of the bulletin: events of the list of streamers, and the last number alone every second.
+//! Codec of the discovery service (`bulletin` in the configuration).
+//!
+//! Discovery sends one message per line: an event that changes the streamer list or, every second, the number
+//! of the last event as a heartbeat.
 use crate::interface::{Entry, ListScope, Micros, Standing};
 use crate::settings::{NameRegistry, NamedEntry};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A line of the bulletin that can't be read.
+/// A line that can't be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// Not JSON of the right form.
-    #[error("bad line: {0}")]
+    /// The line is not JSON of the expected form.
+    #[error("invalid line: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// A streamer of the list that can't be used as the list states it.
+/// A list entry that can't be used as it is.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MemberError {
-    /// An address that is none: the streamer is left out.
-    #[error("streamer {id:?} has a bad address {address:?} and is left out; correct it in the list")]
+    /// The address is invalid; the streamer is ignored.
+    #[error("streamer {id:?} has an invalid address {address:?} and is ignored; correct it in the list")]
     Address {
-        /// The streamer.
+        /// Id of the streamer.
         id: String,
-        /// What stands there.
+        /// The invalid address.
         address: String,
     },
-    /// A state outside the vocabulary: the streamer gets no new sessions.
+    /// The state is unknown; the streamer gets no new sessions.
     #[error("streamer {id:?} has an unknown state {state:?} and gets no set-ups; correct it in the list")]
     State {
-        /// The streamer.
+        /// Id of the streamer.
         id: String,
-        /// What stands there.
+        /// The unknown state.
         state: String,
     },
 }
 
-/// The entries of an event that can be used, and what is wrong with others.
+/// The entries of an update in the core's terms, and the errors found in it.
 #[derive(Debug, Default)]
 pub struct ResolvedMembers {
-    /// The entries, in the module's terms, with the streamers' addresses.
+    /// The usable entries with the streamers' addresses.
     pub entries: Vec<(Entry, SocketAddr)>,
-    /// What can't be used as it stands.
+    /// The errors.
     pub errors: Vec<MemberError>,
 }
 
-/// An event of the bulletin.
+/// An event from discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
-    /// Its number.
+    /// Number of the event; the numbers are consecutive.
     #[serde(rename = "no")]
     pub number: u64,
-    /// What changed in the list of streamers.
+    /// The change of the streamer list, if the event has one.
     pub roster: Option<MembershipUpdate>,
 }
 
-/// The list of streamers, or what changed in it.
+/// The full streamer list, or the entries that changed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MembershipUpdate {
     #[serde(default)]
@@ -76,21 +79,21 @@
     up_since_ms: u64,
 }
 
-/// A line of the bulletin.
+/// A message from discovery.
 #[derive(Debug)]
 pub enum Message {
-    /// The number of the last event.
+    /// A heartbeat with the number of the last event.
     Heartbeat(u64),
     /// An event.
     Event(Event),
 }
 
-/// The line that asks for all events after one.
+/// Encodes the request for all events after the one with this number.
 pub fn encode_request_after(number: u64) -> Vec<u8> {
     format!("after {number}\n").into_bytes()
 }
 
-/// Reads a line without its line feed.
+/// Parses a line without its line feed.
 pub fn parse_line(line: &[u8]) -> Result<Message, DiscoveryError> {
     match std::str::from_utf8(line).ok().and_then(|text| text.trim().parse().ok()) {
         Some(last) => Ok(Message::Heartbeat(last)),
@@ -99,19 +102,19 @@
 }
 
 impl Event {
-    /// Whether it holds the whole list, so that events before it need not be known.
+    /// Whether it contains the full list, so that the events before it are not needed.
     pub fn is_full_list(&self) -> bool {
         self.roster.as_ref().is_some_and(|roster| roster.complete)
     }
 }
 
 impl MembershipUpdate {
-    /// How the module is to take it: the whole list, or what changed.
+    /// Whether the entries are the full list or only what changed.
     pub fn scope(&self) -> ListScope {
         if self.complete { ListScope::Full } else { ListScope::Delta }
     }
 
-    /// Its entries. One that can't be used takes none of the others along.
+    /// Converts the entries to the core's terms. An unusable entry does not affect the others.
     pub fn resolve_members(&self, names: &mut NameRegistry) -> ResolvedMembers {
         let mut resolved = ResolvedMembers::default();
         for member in &self.members {
