--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// The next connection to the source, and what it asked for.
-fn asked(source: &TcpListener) -> (TcpStream, String) {
+fn accept_request(source: &TcpListener) -> (TcpStream, String) {
     let stream = accept(source);
     let mut line = String::new();
     BufReader::new(stream.try_clone().expect("cloned")).read_line(&mut line).expect("a line");
@@ -16,15 +16,15 @@
 }
 
 /// An event about the rig's one streamer.
-fn event(rig: &Rig, no: u64, whole: bool, phase: &str) -> String {
+fn event_line(rig: &Rig, number: u64, full: bool, phase: &str) -> String {
     let streamer = member("s-1", rig.streamer.local_addr().expect("bound"), phase);
     format!(
-        "{{\"no\":{no},\"roster\":{{\"revision\":{no},\"complete\":{whole},\"members\":[{streamer}]}}}}\n"
+        "{{\"no\":{number},\"roster\":{{\"revision\":{number},\"complete\":{full},\"members\":[{streamer}]}}}}\n"
     )
 }
 
 /// A set-up is refused, since the list has nobody left who takes any; looked at until the event is obeyed.
-fn nobody_takes_set_ups(rig: &Rig) {
+fn assert_set_ups_refused(rig: &Rig) {
     until("the drain is obeyed", || rig.figure("out_of_rotation") == 1);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf1, "replay")).expect("written");
@@ -35,131 +35,137 @@
 /// The source that keeps no old events sent a whole list in their place: it was taken for a gap, asked for
 /// again, and sent again, for good.
 #[test]
-fn a_whole_list_after_a_gap_stands_for_what_came_before() {
+fn a_full_list_after_a_gap_replaces_the_missing_events() {
     let rig = Rig::with_door();
-    let (mut source, ask) = asked(&rig.bulletin);
-    assert_eq!(ask, "after 1");
-    source.write_all(event(&rig, 7, true, "terminating").as_bytes()).expect("written");
+    let (mut source, request) = accept_request(&rig.bulletin);
+    assert_eq!(request, "after 1");
+    source.write_all(event_line(&rig, 7, true, "terminating").as_bytes()).expect("written");
     source.write_all(b"7\n").expect("written");
-    nobody_takes_set_ups(&rig);
+    assert_set_ups_refused(&rig);
     drop(source);
-    assert_eq!(asked(&rig.bulletin).1, "after 7");
+    assert_eq!(accept_request(&rig.bulletin).1, "after 7");
 }
 
 /// A change after a gap is no whole list: what is missing is asked for again, and requests are served meanwhile.
 #[test]
-fn a_change_after_a_gap_is_asked_for_again() {
+fn events_missing_before_a_delta_are_requested_again() {
     let rig = Rig::with_door();
-    let (mut source, _) = asked(&rig.bulletin);
-    source.write_all(event(&rig, 3, false, "terminating").as_bytes()).expect("written");
+    let (mut source, _) = accept_request(&rig.bulletin);
+    source.write_all(event_line(&rig, 3, false, "terminating").as_bytes()).expect("written");
     assert_eq!(source.read(&mut [0]).unwrap_or(0), 0, "closed by the director");
-    let (mut source, ask) = asked(&rig.bulletin);
-    assert_eq!(ask, "after 1");
+    let (mut source, request) = accept_request(&rig.bulletin);
+    assert_eq!(request, "after 1");
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf2, "replay")).expect("written");
     assert!(read_rtsp(&mut rig.streamer()).starts_with("SETUP"), "served by the last list");
-    let both = event(&rig, 2, false, "in_service") + &event(&rig, 3, false, "terminating");
-    source.write_all(both.as_bytes()).expect("written");
-    nobody_takes_set_ups(&rig);
+    let missing = event_line(&rig, 2, false, "in_service") + &event_line(&rig, 3, false, "terminating");
+    source.write_all(missing.as_bytes()).expect("written");
+    assert_set_ups_refused(&rig);
 }
 
 /// Broken off in the middle of a line, then numbers that repeat and go back: every event counts once.
 #[test]
-fn a_line_cut_short_is_asked_for_again_and_repeats_count_once() {
+fn a_truncated_event_is_requested_again_and_duplicates_are_ignored() {
     let rig = Rig::with_door();
-    let (mut source, _) = asked(&rig.bulletin);
-    let drains = event(&rig, 2, false, "terminating");
-    source.write_all(&drains.as_bytes()[..40]).expect("written");
+    let (mut source, _) = accept_request(&rig.bulletin);
+    let drain = event_line(&rig, 2, false, "terminating");
+    source.write_all(&drain.as_bytes()[..40]).expect("written");
     drop(source);
-    let (mut source, ask) = asked(&rig.bulletin);
-    assert_eq!(ask, "after 1", "half an event is none");
-    source.write_all(drains.as_bytes()).expect("written");
-    nobody_takes_set_ups(&rig);
+    let (mut source, request) = accept_request(&rig.bulletin);
+    assert_eq!(request, "after 1", "half an event is none");
+    source.write_all(drain.as_bytes()).expect("written");
+    assert_set_ups_refused(&rig);
     // Older ones again, and a last number that goes back: nothing is undone, and the connection stays.
-    let again = event(&rig, 1, true, "in_service") + &event(&rig, 2, false, "in_service") + "1\n0\n";
-    source.write_all(again.as_bytes()).expect("written");
-    source.write_all(event(&rig, 3, false, "terminating").as_bytes()).expect("written");
+    let duplicates =
+        event_line(&rig, 1, true, "in_service") + &event_line(&rig, 2, false, "in_service") + "1\n0\n";
+    source.write_all(duplicates.as_bytes()).expect("written");
+    source.write_all(event_line(&rig, 3, false, "terminating").as_bytes()).expect("written");
     until("the next event is taken", || rig.figure("list_changes") == 3);
-    nobody_takes_set_ups(&rig);
+    assert_set_ups_refused(&rig);
 }
 
 /// A source that goes on with what can't be read was asked again every 50 ms by every director.
 #[test]
-fn a_source_of_no_use_is_asked_less_and_less_often() {
+fn reconnection_backs_off_while_events_are_unusable() {
     let rig = Rig::with_door();
-    let mut since = Instant::now();
+    let mut started_at = Instant::now();
     for connection in 0..6 {
-        let (mut source, ask) = asked(&rig.bulletin);
-        assert_eq!(ask, "after 1");
+        let (mut source, request) = accept_request(&rig.bulletin);
+        assert_eq!(request, "after 1");
         if connection == 0 {
-            since = Instant::now();
+            started_at = Instant::now();
         }
         source.write_all(b"{\"no\":2,\"roster\":7}\n").expect("written");
     }
     // 50, 100, 200, 400 and 800 ms lie between them; at the first wait each time it would be 250 ms.
-    assert!(since.elapsed() >= Duration::from_millis(1_500), "{:?}", since.elapsed());
+    assert!(started_at.elapsed() >= Duration::from_millis(1_500), "{:?}", started_at.elapsed());
     // One that is of use again ends that: it is asked at once when it breaks off.
-    let (mut source, _) = asked(&rig.bulletin);
-    source.write_all(event(&rig, 2, false, "terminating").as_bytes()).expect("written");
-    nobody_takes_set_ups(&rig);
+    let (mut source, _) = accept_request(&rig.bulletin);
+    source.write_all(event_line(&rig, 2, false, "terminating").as_bytes()).expect("written");
+    assert_set_ups_refused(&rig);
 }
 
 /// A source that says nothing more is noticed by its missing heartbeat, though its connection stays open.
 #[test]
-fn a_source_that_falls_silent_for_good_is_left() {
+fn a_connection_without_heartbeats_is_closed() {
     let rig = Rig::start();
-    let (mut source, _) = asked(&rig.bulletin);
+    let (mut source, _) = accept_request(&rig.bulletin);
     source.write_all(b"1\n").expect("written");
     assert_eq!(source.read(&mut [0]).unwrap_or(0), 0, "closed by the director");
-    assert_eq!(asked(&rig.bulletin).1, "after 1");
+    assert_eq!(accept_request(&rig.bulletin).1, "after 1");
 }
 
 /// SIGHUP moves the list's source while the old one is half-way through an event: nothing of the old one counts
 /// after that, and nothing is lost.
 #[test]
-fn sighup_in_the_middle_of_an_event_takes_it_from_the_new_source_alone() {
+fn sighup_during_an_event_discards_the_part_from_the_old_source() {
     let rig = Rig::with_door();
-    let (mut old, _) = asked(&rig.bulletin);
-    let stays = event(&rig, 2, false, "in_service");
-    old.write_all(&stays.as_bytes()[..40]).expect("written");
-    let moved = listener();
+    let (mut old_source, _) = accept_request(&rig.bulletin);
+    let in_service = event_line(&rig, 2, false, "in_service");
+    old_source.write_all(&in_service.as_bytes()[..40]).expect("written");
+    let new_listener = listener();
     let file = rig.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("there");
-    let [was, is] = [&*rig.bulletin, &moved].map(|l| l.local_addr().expect("bound").to_string());
-    std::fs::write(&file, text.replace(&was, &is)).expect("written");
+    let [old_address, new_address] =
+        [&*rig.bulletin, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
+    std::fs::write(&file, text.replace(&old_address, &new_address)).expect("written");
     rig.stop();
     // Both wait when it goes on: the signal, and the rest of the event on the old connection.
     rig.signal("-HUP");
-    let _ = old.write_all(&stays.as_bytes()[40..]);
+    let _ = old_source.write_all(&in_service.as_bytes()[40..]);
     rig.go_on();
-    let (mut new, ask) = asked(&moved);
-    assert_eq!(ask, "after 1", "nothing of the old one was taken");
-    new.write_all(event(&rig, 2, false, "terminating").as_bytes()).expect("written");
-    nobody_takes_set_ups(&rig);
+    let (mut new_source, request) = accept_request(&new_listener);
+    assert_eq!(request, "after 1", "nothing of the old one was taken");
+    new_source.write_all(event_line(&rig, 2, false, "terminating").as_bytes()).expect("written");
+    assert_set_ups_refused(&rig);
 }
 
 /// A configuration of another deployment, or another director's, changes nothing: neither its source of the
 /// list nor its classes are taken over.
 #[test]
-fn a_reload_of_anothers_configuration_changes_nothing() {
+fn a_reload_of_a_foreign_configuration_changes_nothing() {
     let mut rig = Rig::start();
-    let (_source, _) = asked(&rig.bulletin);
+    let (_source, _) = accept_request(&rig.bulletin);
     let file = rig.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("there");
-    let moved = listener();
-    let [was, is] = [&*rig.bulletin, &moved].map(|l| l.local_addr().expect("bound").to_string());
-    let elsewhere = text.replace(&was, &is);
-    let others = [
-        (elsewhere.replace("seat-view", "highlight"), "classes are those of another deployment"),
-        (elsewhere.replace("two-core", "six-core"), "kinds of streamers are those of another deployment"),
-        (elsewhere.replace(r#""name":"n0""#, r#""name":"n9""#), "that of director \"n9\""),
+    let new_listener = listener();
+    let [old_address, new_address] =
+        [&*rig.bulletin, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
+    let with_new_address = text.replace(&old_address, &new_address);
+    let foreign_configurations = [
+        (with_new_address.replace("seat-view", "highlight"), "classes are those of another deployment"),
+        (
+            with_new_address.replace("two-core", "six-core"),
+            "kinds of streamers are those of another deployment",
+        ),
+        (with_new_address.replace(r#""name":"n0""#, r#""name":"n9""#), "that of director \"n9\""),
     ];
-    for (other, line) in others {
-        assert_ne!(other, elsewhere);
-        std::fs::write(&file, other).expect("written");
+    for (foreign, reason) in foreign_configurations {
+        assert_ne!(foreign, with_new_address);
+        std::fs::write(&file, foreign).expect("written");
         rig.signal("-HUP");
-        let said = next_line(&mut rig.log, "configuration");
-        assert!(said.contains("the old configuration stays") && said.contains(line), "{said}");
+        let logged = next_line(&mut rig.log, "configuration");
+        assert!(logged.contains("the old configuration stays") && logged.contains(reason), "{logged}");
     }
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf3, "highlight")).expect("written");
@@ -169,6 +175,6 @@
         read_rtsp(&mut rig.streamer()).contains("Priority-Class: seat-view\r\n"),
         "those of its own stay"
     );
-    moved.set_nonblocking(true).expect("set");
-    assert!(moved.accept().is_err(), "the other source was not asked");
+    new_listener.set_nonblocking(true).expect("set");
+    assert!(new_listener.accept().is_err(), "the other source was not asked");
 }
