--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! The list of streamers from a source that breaks off, repeats itself, leaves gaps, says what is of no use or
-//! moves in mid-line. The source is played by hand and acts on what the director asks.
+//! The streamer list from a discovery source that disconnects, repeats events, leaves gaps, sends unusable
+//! lines or changes its address in the middle of an event. The tests simulate the source, which reacts to the
+//! director's requests.
 mod common;
 mod rig;
 use rig::*;
@@ -7,33 +8,33 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The next connection to the source, and what it asked for.
+/// Accepts the director's next connection and reads its request.
 fn accept_request(source: &TcpListener) -> (TcpStream, String) {
     let stream = accept(source);
     let mut line = String::new();
-    BufReader::new(stream.try_clone().expect("cloned")).read_line(&mut line).expect("a line");
+    BufReader::new(stream.try_clone().expect("clone the stream"))
+        .read_line(&mut line)
+        .expect("read the request");
     (stream, line.trim().to_owned())
 }
 
-/// An event about the rig's one streamer.
-fn event_line(rig: &Rig, number: u64, full: bool, phase: &str) -> String {
+/// Formats an event about the rig's only streamer as a line.
+fn event_line(rig: &Rig, no: u64, full: bool, phase: &str) -> String {
     let streamer = member("s-1", rig.streamer.local_addr().expect("bound"), phase);
-    format!(
-        "{{\"no\":{number},\"roster\":{{\"revision\":{number},\"complete\":{full},\"members\":[{streamer}]}}}}\n"
-    )
+    format!("{{\"no\":{no},\"roster\":{{\"revision\":{no},\"complete\":{full},\"members\":[{streamer}]}}}}\n")
 }
 
-/// A set-up is refused, since the list has nobody left who takes any; looked at until the event is obeyed.
+/// Waits until the drain takes effect, then checks that a set-up is refused, as no streamer accepts any.
 fn assert_set_ups_refused(rig: &Rig) {
-    until("the drain is obeyed", || rig.figure("out_of_rotation") == 1);
+    until("the drain takes effect", || rig.figure("out_of_rotation") == 1);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf1, "replay")).expect("written");
     let (kind, id, parameters) = hear(&mut viewer);
     assert_eq!((kind, id, &parameters[..4]), (12, 0xf1, &[58, 0, 1, 42][..]), "refused at once");
 }
 
-/// The source that keeps no old events sent a whole list in their place: it was taken for a gap, asked for
-/// again, and sent again, for good.
+/// A source that keeps no old events sends a full list in their place. The list was taken for a gap,
+/// requested again and sent again, endlessly.
 #[test]
 fn a_full_list_after_a_gap_replaces_the_missing_events() {
     let rig = Rig::with_door();
@@ -46,7 +47,8 @@
     assert_eq!(accept_request(&rig.bulletin).1, "after 7");
 }
 
-/// A change after a gap is no whole list: what is missing is asked for again, and requests are served meanwhile.
+/// A delta after a gap does not replace the missing events: they are requested again, and viewers are served
+/// meanwhile.
 #[test]
 fn events_missing_before_a_delta_are_requested_again() {
     let rig = Rig::with_door();
@@ -57,13 +59,14 @@
     assert_eq!(request, "after 1");
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf2, "replay")).expect("written");
-    assert!(read_rtsp(&mut rig.streamer()).starts_with("SETUP"), "served by the last list");
+    assert!(read_rtsp(&mut rig.streamer()).starts_with("SETUP"), "served with the last list");
     let missing = event_line(&rig, 2, false, "in_service") + &event_line(&rig, 3, false, "terminating");
     source.write_all(missing.as_bytes()).expect("written");
     assert_set_ups_refused(&rig);
 }
 
-/// Broken off in the middle of a line, then numbers that repeat and go back: every event counts once.
+/// The connection ends in the middle of a line, then event numbers repeat and go back: each event is applied
+/// once.
 #[test]
 fn a_truncated_event_is_requested_again_and_duplicates_are_ignored() {
     let rig = Rig::with_door();
@@ -72,19 +75,19 @@
     source.write_all(&drain.as_bytes()[..40]).expect("written");
     drop(source);
     let (mut source, request) = accept_request(&rig.bulletin);
-    assert_eq!(request, "after 1", "half an event is none");
+    assert_eq!(request, "after 1", "a partial event does not count");
     source.write_all(drain.as_bytes()).expect("written");
     assert_set_ups_refused(&rig);
-    // Older ones again, and a last number that goes back: nothing is undone, and the connection stays.
+    // Older events and heartbeats with lower numbers undo nothing, and the connection stays open.
     let duplicates =
         event_line(&rig, 1, true, "in_service") + &event_line(&rig, 2, false, "in_service") + "1\n0\n";
     source.write_all(duplicates.as_bytes()).expect("written");
     source.write_all(event_line(&rig, 3, false, "terminating").as_bytes()).expect("written");
-    until("the next event is taken", || rig.figure("list_changes") == 3);
+    until("the next event is applied", || rig.figure("list_changes") == 3);
     assert_set_ups_refused(&rig);
 }
 
-/// A source that goes on with what can't be read was asked again every 50 ms by every director.
+/// A source that kept sending unreadable lines was contacted again every 50 ms by every director.
 #[test]
 fn reconnection_backs_off_while_events_are_unusable() {
     let rig = Rig::with_door();
@@ -97,15 +100,15 @@
         }
         source.write_all(b"{\"no\":2,\"roster\":7}\n").expect("written");
     }
-    // 50, 100, 200, 400 and 800 ms lie between them; at the first wait each time it would be 250 ms.
+    // The delays are 50, 100, 200, 400 and 800 ms. Without the backoff they would add up to 250 ms.
     assert!(started_at.elapsed() >= Duration::from_millis(1_500), "{:?}", started_at.elapsed());
-    // One that is of use again ends that: it is asked at once when it breaks off.
+    // A usable event resets the delay, so that the source is contacted promptly if it disconnects again.
     let (mut source, _) = accept_request(&rig.bulletin);
     source.write_all(event_line(&rig, 2, false, "terminating").as_bytes()).expect("written");
     assert_set_ups_refused(&rig);
 }
 
-/// A source that says nothing more is noticed by its missing heartbeat, though its connection stays open.
+/// A source that stops sending is detected by its missing heartbeats, even though its connection stays open.
 #[test]
 fn a_connection_without_heartbeats_is_closed() {
     let rig = Rig::start();
@@ -115,8 +118,8 @@
     assert_eq!(accept_request(&rig.bulletin).1, "after 1");
 }
 
-/// SIGHUP moves the list's source while the old one is half-way through an event: nothing of the old one counts
-/// after that, and nothing is lost.
+/// SIGHUP changes the source's address while the old source is in the middle of an event: nothing more from
+/// the old source is applied, and no event is lost.
 #[test]
 fn sighup_during_an_event_discards_the_part_from_the_old_source() {
     let rig = Rig::with_door();
@@ -125,29 +128,29 @@
     old_source.write_all(&in_service.as_bytes()[..40]).expect("written");
     let new_listener = listener();
     let file = rig.folder.join("config.json");
-    let text = std::fs::read_to_string(&file).expect("there");
+    let text = std::fs::read_to_string(&file).expect("readable");
     let [old_address, new_address] =
         [&*rig.bulletin, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
     std::fs::write(&file, text.replace(&old_address, &new_address)).expect("written");
     rig.stop();
-    // Both wait when it goes on: the signal, and the rest of the event on the old connection.
+    // When the director resumes, the signal and the rest of the event on the old connection are both pending.
     rig.signal("-HUP");
     let _ = old_source.write_all(&in_service.as_bytes()[40..]);
     rig.go_on();
     let (mut new_source, request) = accept_request(&new_listener);
-    assert_eq!(request, "after 1", "nothing of the old one was taken");
+    assert_eq!(request, "after 1", "the partial event from the old source does not count");
     new_source.write_all(event_line(&rig, 2, false, "terminating").as_bytes()).expect("written");
     assert_set_ups_refused(&rig);
 }
 
-/// A configuration of another deployment, or another director's, changes nothing: neither its source of the
-/// list nor its classes are taken over.
+/// A reload with the configuration of another deployment or another director changes nothing: neither its
+/// discovery address nor its classes are applied.
 #[test]
 fn a_reload_of_a_foreign_configuration_changes_nothing() {
     let mut rig = Rig::start();
     let (_source, _) = accept_request(&rig.bulletin);
     let file = rig.folder.join("config.json");
-    let text = std::fs::read_to_string(&file).expect("there");
+    let text = std::fs::read_to_string(&file).expect("readable");
     let new_listener = listener();
     let [old_address, new_address] =
         [&*rig.bulletin, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
@@ -169,12 +172,12 @@
     }
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf3, "highlight")).expect("written");
-    assert_eq!(hear(&mut viewer), (12, 0xf3, vec![58, 0, 1, 41]), "no class of the other one");
+    assert_eq!(hear(&mut viewer), (12, 0xf3, vec![58, 0, 1, 41]), "the other deployment's class is unknown");
     viewer.write_all(&set_up(0xf4, "seat-view")).expect("written");
     assert!(
         read_rtsp(&mut rig.streamer()).contains("Priority-Class: seat-view\r\n"),
-        "those of its own stay"
+        "the director's own classes stay"
     );
     new_listener.set_nonblocking(true).expect("set");
-    assert!(new_listener.accept().is_err(), "the other source was not asked");
+    assert!(new_listener.accept().is_err(), "the other source was not contacted");
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,5 +1,5 @@
-//! The days of operation on real processes: the operators' door, figures that are true, clients sent away and
-//! taken again, and one process replaced by another. Viewers, streamer and front are played by hand.
+//! Operation of real processes: the admin interface, metrics, lame duck, shutdown, and the replacement of one
+//! process by another. The tests simulate the viewers, the streamer and the front end.
 mod common;
 mod rig;
 use rig::*;
@@ -8,31 +8,31 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// Whether the director says at the clients' address that it takes clients; each time on a new connection, as
-/// the front asks.
+/// Returns whether the director reports at the viewers' address that it accepts clients. Uses a new
+/// connection each time, as the front end does.
 fn accepts_clients(rig: &Rig) -> bool {
     let mut front_end = rig.viewer();
     front_end.write_all(&message(52, 7, &[(58, &[0])])).expect("written");
     match hear(&mut front_end) {
         (53, 7, parameters) => parameters == [58, 0, 1, 1],
-        other => panic!("the front heard {other:?}"),
+        other => panic!("the front end received {other:?}"),
     }
 }
 
-/// A set-up that its streamer has and has not answered.
+/// Sends a set-up that reaches the streamer and is not answered yet.
 fn start_attempt(viewer: &mut TcpStream, streamer: &mut TcpStream, id: u64) {
     viewer.write_all(&set_up(id, "replay")).expect("written");
     assert!(read_rtsp(streamer).starts_with("SETUP "));
 }
 
-/// A session that stands.
+/// Sends a set-up and establishes its session.
 fn establish_session(viewer: &mut TcpStream, streamer: &mut TcpStream, id: u64) {
     start_attempt(viewer, streamer, id);
     streamer.write_all(&stands(id, "answer")).expect("written");
     assert_eq!(hear(viewer).0, 9);
 }
 
-/// The first session, on connections of its own.
+/// Establishes the first session, on new connections of a viewer and the streamer.
 fn connect_and_establish(rig: &Rig, id: u64) -> (TcpStream, TcpStream) {
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(id, "replay")).expect("written");
@@ -44,16 +44,16 @@
 }
 
 fn assert_closed(mut stream: TcpStream) {
-    assert_eq!(stream.read(&mut [0; 64]).unwrap_or(0), 0, "closed, and nothing said before");
+    assert_eq!(stream.read(&mut [0; 64]).unwrap_or(0), 0, "closed without a further message");
 }
 
-/// At the set-up of a session that plays already there is no answer.
+/// The set-up message that hands over an established session. It is not answered.
 fn handed_over_session(id: u64, at: &str) -> Vec<u8> {
-    let figures = format!("home:0;copies:1;top:1;viewer:00000000b4d65521;at:{at}");
+    let parameters = format!("home:0;copies:1;top:1;viewer:00000000b4d65521;at:{at}");
     message(
         1,
         id,
-        &[(16, b"replay"), (19, b"20000"), (28, b"7f3a"), (31, figures.as_bytes()), (61, b"offer")],
+        &[(16, b"replay"), (19, b"20000"), (28, b"7f3a"), (31, parameters.as_bytes()), (61, b"offer")],
     )
 }
 
@@ -80,30 +80,30 @@
     ] {
         assert_eq!(rig.call(method, path).0, status, "{method} {path}");
     }
-    let address = rig.door.expect("a door");
+    let address = rig.door.expect("an admin address");
     for (request, status) in [(&b"\x16\x03\x01 no HTTP\r\n\r\n"[..], 400), (&[b'A'; 5_000], 431)] {
-        let mut stream = TcpStream::connect(address).expect("taken");
+        let mut stream = TcpStream::connect(address).expect("connected");
         stream.write_all(request).expect("written");
         assert_eq!(answered(stream).0, status);
     }
-    // Cut at every byte, and with more behind it than is asked for.
-    let mut stream = TcpStream::connect(address).expect("taken");
+    // Sent byte by byte, with a second request behind the first.
+    let mut stream = TcpStream::connect(address).expect("connected");
     for byte in b"GET /_ready?now HTTP/1.1\r\nHost: x\r\n\r\nGET /_ready HTTP/1.1\r\n\r\n" {
         stream.write_all(&[*byte]).expect("written");
     }
     assert_eq!(answered(stream).0, 200);
-    assert!(accepts_clients(&rig), "none of it touched the clients' side");
+    assert!(accepts_clients(&rig), "viewers are not affected");
 }
 
-/// A thousand callers that say nothing or half a call, more than there are places: the next one is answered,
-/// and the viewers are served meanwhile.
+/// A thousand admin connections without a complete request, more than there are slots: the next request is
+/// answered, and viewers are served meanwhile.
 #[test]
 fn idle_admin_connections_do_not_block_new_ones() {
     let rig = Rig::with_door();
-    let address = rig.door.expect("a door");
+    let address = rig.door.expect("an admin address");
     let mut idle = Vec::new();
     for i in 0..1_000 {
-        let mut stream = TcpStream::connect(address).expect("taken or queued");
+        let mut stream = TcpStream::connect(address).expect("connected or queued");
         if i % 2 == 0 {
             stream.write_all(b"GET /_va").expect("written");
         }
@@ -113,7 +113,7 @@
             assert!(accepts_clients(&rig));
         }
     }
-    // Told, not judged: a busy machine is no fault of the door's.
+    // Printed and not asserted: on a busy machine the latency may be high without a fault in the server.
     let mut latencies: Vec<_> = (0..200)
         .map(|_| {
             let started_at = std::time::Instant::now();
@@ -122,7 +122,7 @@
         })
         .collect();
     latencies.sort_unstable();
-    println!("a call beside 1,000 idle callers: p50 {:?}, p99 {:?}", latencies[100], latencies[198]);
+    println!("request beside 1,000 idle connections: p50 {:?}, p99 {:?}", latencies[100], latencies[198]);
     assert_eq!(rig.call("PUT", "/_lameduck/off").0, 200);
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", rig.child.id())).expect("descriptors").count();
     assert!(descriptors < 64, "{descriptors} descriptors in use with 1,000 admin connections");
@@ -132,15 +132,14 @@
 fn without_an_address_there_is_no_admin_interface() {
     let mut rig = Rig::start();
     let without = std::fs::read_dir(format!("/proc/{}/fd", rig.child.id())).expect("descriptors").count();
-    let rig_with_admin = Rig::with_door();
-    let with =
-        std::fs::read_dir(format!("/proc/{}/fd", rig_with_admin.child.id())).expect("descriptors").count();
-    assert_eq!(with, without + 1, "its listener, and nothing else");
+    let other = Rig::with_door();
+    let with = std::fs::read_dir(format!("/proc/{}/fd", other.child.id())).expect("descriptors").count();
+    assert_eq!(with, without + 1, "only the listener is added");
     rig.signal("-USR1");
     assert!(next_line(&mut rig.log, "counters").contains("calls=0"));
 }
 
-/// Each way that a request can end, against what the viewers and the streamer of this test counted.
+/// Compares the metrics, for each way a request can end, with what this test's viewers and streamer counted.
 #[test]
 fn metrics_match_the_requests_that_peers_counted() {
     let single_attempt = common::SETTINGS_JSON.replace(r#""max_attempts": 4"#, r#""max_attempts": 1"#);
@@ -157,7 +156,7 @@
     }
     start_attempt(&mut viewer, &mut streamer, 0x40);
     relayed += 1;
-    // An error of a paid one: failed. It speaks against the only streamer: the next one is refused at once.
+    // A paid request fails at an error, which counts against the only streamer: the next is refused at once.
     viewer.write_all(&set_up(0x31, "replay")).expect("written");
     read_rtsp(&mut streamer);
     relayed += 1;
@@ -177,13 +176,14 @@
     assert_eq!(value("svc.operations.replay.throttled"), 0);
     assert_eq!(value("svc.operations.seat-view.throttled"), 1);
     assert_eq!(value("svc.relayed"), relayed);
-    assert_eq!(value("svc.open_requests"), 4 + 1, "sessions that stand, and the one that waits");
+    assert_eq!(value("svc.open_requests"), 4 + 1, "established sessions and a pending request");
     assert_eq!(value("svc.registry_entries"), 1);
-    assert_eq!(value("svc.out_of_rotation"), 1, "its errors speak against the one streamer");
+    assert_eq!(value("svc.out_of_rotation"), 1, "the only streamer, after its errors");
 }
 
-/// Sent away: the front hears no at once; what is in flight is answered once; a connection with nothing on it
-/// is closed; one with a session is kept, so that its end reaches its viewer. Then all come back.
+/// Lame duck: the front end is told at once that no clients are accepted; an attempt in flight is answered
+/// once; a connection without sessions is closed, and one with a session kept for its release.
+/// Then clients are accepted again.
 #[test]
 fn lame_duck_closes_idle_connections_and_can_be_left() {
     let rig = Rig::with_door();
@@ -197,11 +197,11 @@
     assert_closed(idle_viewer);
     streamer.write_all(&stands(0xa2, "answer")).expect("written");
     assert_eq!(hear(&mut viewer), (9, 0xa2, [&[61, 0, 6][..], b"answer"].concat()));
-    // The front goes on asking, each time on a new connection; the end of a session is none of its business.
+    // The front end keeps asking on new connections, which do not receive the releases of sessions.
     streamer.write_all(&over(0xa1)).expect("written");
     assert!(!accepts_clients(&rig));
     assert_eq!(hear(&mut viewer), (12, 0xa1, vec![58, 0, 1, 16]));
-    // All connections are closed before the front looks; what ends then waits for the viewers to come back.
+    // All connections are closed before the front end checks; later releases wait until the viewers return.
     assert_closed(viewer);
     streamer.write_all(&over(0xa2)).expect("written");
     assert!(!accepts_clients(&rig));
@@ -209,13 +209,13 @@
     assert!(accepts_clients(&rig) && rig.call("GET", "/_ready").0 == 200);
     let mut returned_viewer = rig.viewer();
     returned_viewer.write_all(&set_up(0xa3, "replay")).expect("written");
-    assert_eq!(hear(&mut returned_viewer), (12, 0xa2, vec![58, 0, 1, 16]), "what waited comes first");
+    assert_eq!(hear(&mut returned_viewer), (12, 0xa2, vec![58, 0, 1, 16]), "the waiting release comes first");
     read_rtsp(&mut streamer);
     streamer.write_all(&stands(0xa3, "answer")).expect("written");
     assert_eq!(hear(&mut returned_viewer).0, 9);
 }
 
-/// A request in flight as clients are taken again, its connection among those that were kept.
+/// A request is in flight, on a connection that was kept, when clients are accepted again.
 #[test]
 fn an_attempt_in_flight_when_lame_duck_ends_is_answered_once() {
     let rig = Rig::with_door();
@@ -225,10 +225,10 @@
     assert_eq!(rig.call("PUT", "/_lameduck/off").0, 200);
     streamer.write_all(&stands(0xa2, "answer")).expect("written");
     assert_eq!(hear(&mut viewer).0, 9);
-    establish_session(&mut viewer, &mut streamer, 0xa3); // nothing came between
+    establish_session(&mut viewer, &mut streamer, 0xa3); // no other message came before
 }
 
-/// At its end a director that has no heir keeps the connections with sessions, and answers what still comes.
+/// A director that shuts down without a successor keeps connections with sessions and still answers requests.
 #[test]
 fn leaving_lame_duck_during_shutdown_is_refused() {
     let mut rig = Rig::with_door();
@@ -239,9 +239,9 @@
     assert!(rig.call("GET", "/_ready").0 == 503 && !accepts_clients(&rig));
 }
 
-/// A planned restart: a viewer goes on sending on its connection for as long as that stays open. All that it sent
-/// is answered once, but for one that may cross the close, and the end of its session comes on that connection;
-/// a connection with nothing on it is closed meanwhile, so that nothing more is sent there.
+/// Planned restart: a viewer keeps sending while its connection is open. Every request is answered once, but
+/// for one that may cross the close, and the release of its session arrives on that connection. A connection
+/// without sessions is closed meanwhile, so that nothing more is sent there.
 #[test]
 fn requests_sent_during_shutdown_are_answered() {
     let mut rig = Rig::with_door();
@@ -252,9 +252,9 @@
     rig.signal("-TERM");
     next_line(&mut rig.log, "asked to end");
     let (mut sent, mut answered, mut released) = (0_u64, 0_u64, false);
-    // The director closes with the release of the session behind the last answer.
+    // The director releases the session after the last answer, then closes the connection.
     loop {
-        // More of no use would close the connection.
+        // More unusable requests would close the connection.
         if sent == answered && sent < 24 {
             sent += 1;
             if viewer.write_all(&set_up(0xf000 + sent, "nobody's")).is_err() {
@@ -271,7 +271,7 @@
         if session == 0xe0 {
             released = true;
         } else {
-            assert_eq!(session, 0xf000 + sent, "each is answered once, in order");
+            assert_eq!(session, 0xf000 + sent, "each request is answered once, in order");
             answered += 1;
         }
     }
@@ -283,40 +283,41 @@
     assert!(rig.child.wait().expect("ended").success());
 }
 
+/// The process to be replaced, and connections to it.
 struct OldProcess {
-    shared_listener: TcpListener,
+    socket: TcpListener,
     old: Rig,
     viewer: TcpStream,
     streamer: TcpStream,
 }
 
-/// A director on a listening socket that the platform holds, with a session and a set-up in flight.
+/// Starts a director on a listening socket held by the test, with a session and an attempt in flight.
 fn start_old_process() -> OldProcess {
-    let shared_listener = listener();
-    let old = Rig::on(&shared_listener, &Arc::new(listener()), &Arc::new(listener()));
+    let socket = listener();
+    let old = Rig::on(&socket, &Arc::new(listener()), &Arc::new(listener()));
     let (mut viewer, mut streamer) = connect_and_establish(&old, 0xc1);
     start_attempt(&mut viewer, &mut streamer, 0xc2);
-    OldProcess { shared_listener, old, viewer, streamer }
+    OldProcess { socket, old, viewer, streamer }
 }
 
-/// The old one answers what it has, once, closes its connections as they fall quiet, and ends by itself; the
-/// session goes on, is handed to the new one, and its end reaches the viewer through that.
+/// The old process answers its pending requests once, closes connections as they become idle, and exits. Its
+/// sessions go on, are handed over to the new process, and their releases reach the viewer through that.
 #[test]
 fn an_upgrade_preserves_requests_and_sessions() {
-    let OldProcess { shared_listener, mut old, mut viewer, mut streamer } = start_old_process();
-    let new = Rig::on(&shared_listener, &old.streamer, &old.bulletin);
-    assert_eq!(new.call("GET", "/_ready").0, 200, "it takes clients at once");
+    let OldProcess { socket, mut old, mut viewer, mut streamer } = start_old_process();
+    let new = Rig::on(&socket, &old.streamer, &old.bulletin);
+    assert_eq!(new.call("GET", "/_ready").0, 200, "it accepts clients at once");
     old.signal("-TERM");
     next_line(&mut old.log, "asked to end");
-    // New connections are the new one's: it alone says yes.
+    // New connections reach the new process, the only one that accepts clients.
     for _ in 0..20 {
         assert!(accepts_clients(&new));
     }
     streamer.write_all(&stands(0xc2, "answer")).expect("written");
     assert_eq!(hear(&mut viewer).0, 9);
     assert_closed(viewer);
-    assert!(old.child.wait().expect("ended").success(), "by itself");
-    // The streamer was told nothing of an end: its connection just closes.
+    assert!(old.child.wait().expect("ended").success(), "it exits by itself");
+    // The streamer is not told to end the sessions: its connection just closes.
     assert_closed(streamer);
     let mut viewer = new.viewer();
     for id in [0xc1, 0xc2] {
@@ -329,26 +330,26 @@
     }
 }
 
-/// A release that comes to the new one before the session is handed to it: the viewer hears of it all the same.
+/// A release reaches the new process before the session is handed over to it: the viewer still receives it.
 #[test]
 fn a_release_received_before_the_hand_over_is_delivered() {
-    let OldProcess { shared_listener, mut old, mut viewer, mut streamer } = start_old_process();
-    let new = Rig::on(&shared_listener, &old.streamer, &old.bulletin);
+    let OldProcess { socket, mut old, mut viewer, mut streamer } = start_old_process();
+    let new = Rig::on(&socket, &old.streamer, &old.bulletin);
     streamer.write_all(&stands(0xc2, "answer")).expect("written");
     assert_eq!(hear(&mut viewer).0, 9);
     let (mut new_viewer, mut new_streamer) = establish_on_new_process(&new, &old, 0xd1);
     old.signal("-TERM");
     assert_closed(viewer);
     assert!(old.child.wait().expect("ended").success());
-    new_streamer.write_all(&over(0xc1)).expect("written"); // on the one connection that is open now
-    establish_session(&mut new_viewer, &mut new_streamer, 0xd2); // it was read before this
+    new_streamer.write_all(&over(0xc1)).expect("written"); // on the only connection that is open now
+    establish_session(&mut new_viewer, &mut new_streamer, 0xd2); // the release was read before this
     let mut viewer = new.viewer();
     viewer.write_all(&handed_over_session(0xc1, "s-1")).expect("written");
     assert_eq!(hear(&mut viewer), (12, 0xc1, vec![58, 0, 1, 16]));
 }
 
-/// A session at the new one while the old one still takes connections from the same socket: the old one is
-/// stopped, so that the new one takes this.
+/// Establishes a session at the new process while the old one still accepts connections from the same socket;
+/// the old one is stopped meanwhile, so that the new one accepts this connection.
 fn establish_on_new_process(new: &Rig, old: &Rig, id: u64) -> (TcpStream, TcpStream) {
     old.signal("-STOP");
     let connections = connect_and_establish(new, id);
@@ -356,14 +357,14 @@
     connections
 }
 
-/// The new process never says yes: the old one is told nothing and serves on.
+/// The new process never becomes ready: the old one gets no signal and continues to serve.
 #[test]
 fn an_upgrade_whose_new_process_fails_to_start_changes_nothing() {
-    let OldProcess { shared_listener, old, mut viewer, mut streamer } = start_old_process();
+    let OldProcess { socket, old, mut viewer, mut streamer } = start_old_process();
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_stonewharf"))
         .env("LB_CONFIG", old.folder.join("config.json"))
-        .env("LB_ADMIN_ADDR", old.door.expect("a door").to_string()) // taken
-        .env("LB_INHERITED_FD", std::os::fd::AsRawFd::as_raw_fd(&shared_listener).to_string())
+        .env("LB_ADMIN_ADDR", old.door.expect("an admin address").to_string()) // in use
+        .env("LB_INHERITED_FD", std::os::fd::AsRawFd::as_raw_fd(&socket).to_string())
         .output()
         .expect("ran");
     let stderr = String::from_utf8_lossy(&output.stderr);
@@ -374,11 +375,11 @@
     establish_session(&mut viewer, &mut streamer, 0xc3);
 }
 
-/// The new process says yes and is killed at once: what the old one has it still answers, once.
+/// The new process becomes ready and is killed at once: the old one still answers its pending requests once.
 #[test]
 fn a_crash_of_the_new_process_does_not_affect_the_old_one() {
-    let OldProcess { shared_listener, mut old, mut viewer, mut streamer } = start_old_process();
-    let mut new = Rig::on(&shared_listener, &old.streamer, &old.bulletin);
+    let OldProcess { socket, mut old, mut viewer, mut streamer } = start_old_process();
+    let mut new = Rig::on(&socket, &old.streamer, &old.bulletin);
     assert_eq!(new.call("GET", "/_ready").0, 200);
     new.child.kill().expect("killed");
     old.signal("-TERM");
@@ -387,11 +388,10 @@
     assert_eq!(hear(&mut viewer).0, 9);
     assert_closed(viewer);
     assert!(old.child.wait().expect("ended").success());
-    // Whoever connected meanwhile waits at the socket, and a third process serves it.
-    let mut waiting_viewer =
-        TcpStream::connect(shared_listener.local_addr().expect("bound")).expect("queued");
+    // A viewer that connects meanwhile waits in the socket's backlog until a third process serves it.
+    let mut waiting_viewer = TcpStream::connect(socket.local_addr().expect("bound")).expect("queued");
     waiting_viewer.set_read_timeout(Some(LONG)).expect("set");
     waiting_viewer.write_all(&message(52, 8, &[(58, &[0])])).expect("written");
-    let _third_process = Rig::on(&shared_listener, &old.streamer, &old.bulletin);
+    let _third_process = Rig::on(&socket, &old.streamer, &old.bulletin);
     assert_eq!(hear(&mut waiting_viewer), (53, 8, vec![58, 0, 1, 1]));
 }
