--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -195,7 +195,7 @@
             .map_err(|why| NodeError::Listen(config.listen, why))?;
         let duty = Lifecycle::new(grace_us(transport.longest_deadline_us()), config.inherited_fd.is_some());
         let streamers = Streamers::new(transport.clone(), sockets / 2);
-        let bulletin = DiscoveryClient::new(config.bulletin, config.known.last_event);
+        let bulletin = DiscoveryClient::new(config.discovery_addr, config.known.last_event);
         let mut node = Node {
             clock,
             director,
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -87,13 +87,13 @@
     }
 
     pub(super) fn notice(&mut self, event: &Event, known: bool) {
-        let Some(roster) = &event.roster else { return };
-        let ResolvedMembers { mut entries, errors } = roster.resolve_members(&mut self.names);
+        let Some(update) = &event.update else { return };
+        let ResolvedMembers { mut entries, errors } = update.resolve_members(&mut self.names);
         for why in errors {
             self.shared.counters.malformed += 1;
             warn!(self.shared.log, "in the list of streamers: {why}"; "no" => event.number);
         }
-        let scope = match roster.scope() {
+        let scope = match update.scope() {
             ListScope::Full if known => ListScope::Cached,
             scope => scope,
         };
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -52,6 +52,6 @@
         if read.config.settings != self.info {
             warn!(self.shared.log, "its settings differ from those in force and hold from the next start");
         }
-        self.parts.bulletin.set_address(&mut self.shared, read.config.bulletin);
+        self.parts.bulletin.set_address(&mut self.shared, read.config.discovery_addr);
     }
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -65,7 +65,8 @@
     /// Resource limits.
     pub limits: Limits,
     /// Address of the discovery service.
-    pub bulletin: SocketAddr,
+    #[serde(rename = "bulletin")]
+    pub discovery_addr: SocketAddr,
     /// Address of the admin interface; without one there is none. `LB_ADMIN_ADDR` takes precedence if the
     /// configuration comes from the platform ([`Config::from_env`]).
     #[serde(default)]
--- a/src/platform/discovery.rs
+++ b/src/platform/discovery.rs
@@ -52,7 +52,8 @@
     #[serde(rename = "no")]
     pub number: u64,
     /// The change of the streamer list, if the event has one.
-    pub roster: Option<MembershipUpdate>,
+    #[serde(rename = "roster")]
+    pub update: Option<MembershipUpdate>,
 }
 
 /// The full streamer list, or the entries that changed.
@@ -63,6 +64,7 @@
     members: Vec<Member>,
 }
 
+/// A streamer in the list, with the field names of the wire format.
 #[derive(Clone, Debug, Deserialize)]
 struct Member {
     id: String,
@@ -104,7 +106,7 @@
 impl Event {
     /// Whether it contains the full list, so that the events before it are not needed.
     pub fn is_full_list(&self) -> bool {
-        self.roster.as_ref().is_some_and(|roster| roster.complete)
+        self.update.as_ref().is_some_and(|update| update.complete)
     }
 }
 
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -222,10 +222,10 @@
         "host_port":"10.1.0.9:2905","locality":"east","flavor":"std","cell":2,"phase":"terminating","size":4,
         "up_since_ms":1700000000000}]}}"#;
     let Ok(discovery::Message::Event(event)) = discovery::parse_line(line) else { panic!("not read") };
-    let roster = event.roster.expect("a roster");
-    assert_eq!((event.number, roster.scope()), (41, ListScope::Delta));
+    let update = event.update.expect("a membership update");
+    assert_eq!((event.number, update.scope()), (41, ListScope::Delta));
     let mut names = common::name_registry();
-    let members = roster.resolve_members(&mut names);
+    let members = update.resolve_members(&mut names);
     assert_eq!(members.errors, vec![]);
     let (entry, address) = &members.entries[0];
     assert_eq!(address.to_string(), "10.1.0.9:2905");
@@ -252,7 +252,7 @@
     let Ok(discovery::Message::Event(event)) = discovery::parse_line(line.as_bytes()) else {
         panic!("not read")
     };
-    let members = event.roster.expect("a roster").resolve_members(&mut common::name_registry());
+    let members = event.update.expect("a membership update").resolve_members(&mut common::name_registry());
     let standing: Vec<_> = members.entries.iter().map(|(entry, _)| entry.standing).collect();
     assert_eq!(standing, vec![Standing::Draining; 2], "an unknown state takes no set-ups");
     assert_eq!(members.errors.len(), 2);
