--- /dev/null
+++ b/src/net/admin.rs
@@ -0,0 +1,213 @@
+//! The server of the admin interface: its listener and its connections.
+//!
+//! It owns the sockets and their timeouts; requests are passed on as [`Heard::Call`] and carried out
+//! elsewhere. An idle connection holds a slot for a limited time, and is evicted for a new one when all slots
+//! are in use.
+use super::line::{Got, Line};
+use super::part::{Part, Ready};
+use super::poll::{Token, Watched};
+use super::shared::{Due, Heard, Shared};
+use crate::director::Director;
+use crate::interface::Micros;
+use crate::platform::admin::{self, AdminError};
+use slog::{debug, warn};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::TcpListener;
+
+/// Maximum number of open connections, which also bounds the descriptors in use.
+const MAX_CONNECTIONS: usize = 24;
+/// Maximum number of descriptors in use: the connections and the listener.
+pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
+/// Time that a connection has to send its request before it may be evicted. With all slots held by idle
+/// connections, more than a thousand new ones per second are still accepted.
+const REQUEST_GRACE_US: Micros = 15_000;
+/// Time after which a connection is closed in any state.
+const MAX_CONNECTION_AGE_US: Micros = 5_000_000;
+/// Pause in accepting connections while all slots are in use.
+const ACCEPT_PAUSE_US: Micros = 5_000;
+
+/// Progress of a connection's request.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum RequestState {
+    /// The request has not been received completely.
+    Reading,
+    /// The request was received; it is answered in the same turn of the loop.
+    Pending,
+    /// The response is queued or sent; the client may still have to read it.
+    Responded,
+}
+
+/// A connection of a client.
+struct Connection {
+    line: Line,
+    accepted_at: Micros,
+    state: RequestState,
+}
+
+/// Server of the admin interface.
+pub struct AdminServer {
+    listener: Watched<TcpListener>,
+    connections: BTreeMap<Token, Connection>,
+}
+
+impl AdminServer {
+    /// Creates a server that accepts connections from `listener`.
+    pub fn new(shared: &mut Shared, listener: TcpListener) -> io::Result<Self> {
+        listener.set_nonblocking(true)?;
+        Ok(AdminServer { listener: shared.poll.watch(listener, false)?, connections: BTreeMap::new() })
+    }
+
+    fn accept(&mut self, shared: &mut Shared) {
+        loop {
+            if self.connections.len() >= MAX_CONNECTIONS && !self.evict_connection(shared) {
+                return self.pause_accepting(shared); // further connections wait in the backlog
+            }
+            match self.listener.source().accept() {
+                Ok((stream, _)) => match Line::accepted(&mut shared.poll, stream) {
+                    Ok(line) => {
+                        let token = line.token();
+                        self.connections.insert(
+                            token,
+                            Connection { line, accepted_at: shared.now, state: RequestState::Reading },
+                        );
+                        shared.wake(MAX_CONNECTION_AGE_US, Due::Door(token));
+                        // The request has usually arrived already.
+                        self.handle_io(shared, Ready { token, readable: true, writable: false });
+                    }
+                    Err(error) => warn!(shared.log, "can't set up an admin connection: {error}"),
+                },
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => {
+                    shared.counters.descriptors_out += 1;
+                    if self.evict_connection(shared) {
+                        continue;
+                    }
+                    warn!(shared.log, "can't accept an admin connection: {error}");
+                    return self.pause_accepting(shared);
+                }
+            }
+        }
+    }
+
+    /// Closes the oldest connection that may be evicted, preferably one that was answered. Returns whether
+    /// there was one.
+    fn evict_connection(&mut self, shared: &mut Shared) -> bool {
+        let evictable = |connection: &&Connection| match connection.state {
+            RequestState::Reading => connection.accepted_at.saturating_add(REQUEST_GRACE_US) <= shared.now,
+            RequestState::Pending => false,
+            RequestState::Responded => true,
+        };
+        let oldest = self
+            .connections
+            .values()
+            .filter(evictable)
+            .min_by_key(|connection| (connection.state == RequestState::Reading, connection.accepted_at));
+        let oldest = oldest.map(|connection| connection.line.token());
+        oldest.inspect(|token| self.close(shared, *token)).is_some()
+    }
+
+    fn pause_accepting(&mut self, shared: &mut Shared) {
+        if self.listener.interest(false, false).is_ok() {
+            shared.wake(ACCEPT_PAUSE_US, Due::Door(self.listener.token()));
+        }
+    }
+
+    fn close(&mut self, shared: &mut Shared, token: Token) {
+        if let Some(connection) = self.connections.remove(&token) {
+            shared.counters.calls_unusable += u64::from(connection.state == RequestState::Reading);
+        }
+    }
+
+    fn handle_io(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
+        if writable {
+            self.flush(shared, token);
+        }
+        let Some(connection) = self.connections.get_mut(&token).filter(|_| readable) else { return };
+        let read_result = connection.line.read();
+        if connection.state != RequestState::Reading {
+            // One request per connection. Further input is read and discarded, so that the client can read
+            // its response.
+            connection.line.discard();
+        } else {
+            match connection.line.take_one(admin::parse_request) {
+                Ok(Some(request)) => {
+                    shared.counters.calls += 1;
+                    connection.state = RequestState::Pending;
+                    shared.heard.push(Heard::Call(token, request));
+                }
+                Ok(None) => {}
+                Err(error) => self.reject(shared, token, error),
+            }
+        }
+        // A client that has shut down its sending side may still read the response.
+        let finished = |connection: &Connection| {
+            connection.state == RequestState::Reading
+                || (connection.state == RequestState::Responded && connection.line.unwritten() == 0)
+        };
+        let ended = matches!(read_result, Ok(Got::End)) && self.connections.get(&token).is_some_and(finished);
+        if ended || read_result.is_err() {
+            self.close(shared, token);
+        }
+    }
+
+    fn reject(&mut self, shared: &mut Shared, token: Token, error: AdminError) {
+        debug!(shared.log, "invalid admin request: {error}");
+        shared.counters.calls_unusable += 1;
+        self.respond(shared, token, error.status(), &format!("{error}\n"));
+    }
+
+    /// Sends the response to a connection's request.
+    pub fn respond(&mut self, shared: &mut Shared, token: Token, status: u16, body: &str) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        connection.state = RequestState::Responded;
+        connection.line.put(&admin::encode_response(status, body));
+        self.flush(shared, token);
+    }
+
+    fn flush(&mut self, shared: &mut Shared, token: Token) {
+        let Some(connection) =
+            self.connections.get_mut(&token).filter(|connection| connection.state == RequestState::Responded)
+        else {
+            return;
+        };
+        let result = match connection.line.write() {
+            Ok(true) => connection.line.finish(),
+            Ok(false) => return,
+            Err(error) => Err(error),
+        };
+        if let Err(error) = result {
+            debug!(shared.log, "admin connection lost: {error}");
+            self.close(shared, token);
+        }
+    }
+}
+
+impl Part for AdminServer {
+    fn owns(&self, token: Token) -> bool {
+        self.connections.contains_key(&token) || self.listener.token() == token
+    }
+
+    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+        if self.listener.token() == ready.token {
+            self.accept(shared);
+        } else {
+            self.handle_io(shared, ready);
+        }
+    }
+
+    fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
+        let Due::Door(token) = due else { return false };
+        if self.listener.token() == token {
+            if let Err(error) = self.listener.interest(true, false) {
+                warn!(shared.log, "can't resume accepting admin connections: {error}");
+            }
+            self.accept(shared);
+        } else {
+            self.close(shared, token);
+        }
+        true
+    }
+}
--- /dev/null
+++ b/src/platform/discovery.rs
@@ -0,0 +1,146 @@
+//! Codec of the discovery service (`bulletin` in the configuration).
+//!
+//! Discovery sends one message per line: an event that changes the streamer list or, every second, the number
+//! of the last event as a heartbeat.
+use crate::interface::{Entry, ListScope, Micros, Standing};
+use crate::settings::{NameRegistry, NamedEntry};
+use serde::Deserialize;
+use std::net::SocketAddr;
+
+/// A line that can't be parsed.
+#[derive(Debug, thiserror::Error)]
+pub enum DiscoveryError {
+    /// The line is not JSON of the expected form.
+    #[error("invalid line: {0}")]
+    Json(#[from] serde_json::Error),
+}
+
+/// A list entry that can't be used as it is.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum MemberError {
+    /// The address is invalid; the streamer is ignored.
+    #[error("streamer {id:?} has an invalid address {address:?} and is ignored; correct it in the list")]
+    Address {
+        /// Id of the streamer.
+        id: String,
+        /// The invalid address.
+        address: String,
+    },
+    /// The state is unknown; the streamer gets no new sessions.
+    #[error("streamer {id:?} has an unknown state {state:?} and gets no set-ups; correct it in the list")]
+    State {
+        /// Id of the streamer.
+        id: String,
+        /// The unknown state.
+        state: String,
+    },
+}
+
+/// The entries of an update in the core's terms, and the errors found in it.
+#[derive(Debug, Default)]
+pub struct ResolvedMembers {
+    /// The usable entries with the streamers' addresses.
+    pub entries: Vec<(Entry, SocketAddr)>,
+    /// The errors.
+    pub errors: Vec<MemberError>,
+}
+
+/// An event from discovery.
+#[derive(Clone, Debug, Deserialize)]
+pub struct Event {
+    /// Number of the event; the numbers are consecutive.
+    #[serde(rename = "no")]
+    pub number: u64,
+    /// The change of the streamer list, if the event has one.
+    #[serde(rename = "roster")]
+    pub update: Option<MembershipUpdate>,
+}
+
+/// The full streamer list, or the entries that changed.
+#[derive(Clone, Debug, Deserialize)]
+pub struct MembershipUpdate {
+    #[serde(default)]
+    complete: bool,
+    members: Vec<Member>,
+}
+
+/// A streamer in the list, with the field names of the wire format.
+#[derive(Clone, Debug, Deserialize)]
+struct Member {
+    id: String,
+    host_port: String,
+    #[serde(default)]
+    locality: String,
+    #[serde(default)]
+    flavor: String,
+    #[serde(default)]
+    cell: u32,
+    phase: String,
+    size: Option<f64>,
+    #[serde(default)]
+    up_since_ms: u64,
+}
+
+/// A message from discovery.
+#[derive(Debug)]
+pub enum Message {
+    /// A heartbeat with the number of the last event.
+    Heartbeat(u64),
+    /// An event.
+    Event(Event),
+}
+
+/// Encodes the request for all events after the one with this number.
+pub fn encode_request_after(number: u64) -> Vec<u8> {
+    format!("after {number}\n").into_bytes()
+}
+
+/// Parses a line without its line feed.
+pub fn parse_line(line: &[u8]) -> Result<Message, DiscoveryError> {
+    match std::str::from_utf8(line).ok().and_then(|text| text.trim().parse().ok()) {
+        Some(last) => Ok(Message::Heartbeat(last)),
+        None => Ok(Message::Event(serde_json::from_slice(line)?)),
+    }
+}
+
+impl Event {
+    /// Whether it contains the full list, so that the events before it are not needed.
+    pub fn is_full_list(&self) -> bool {
+        self.update.as_ref().is_some_and(|update| update.complete)
+    }
+}
+
+impl MembershipUpdate {
+    /// Whether the entries are the full list or only what changed.
+    pub fn scope(&self) -> ListScope {
+        if self.complete { ListScope::Full } else { ListScope::Delta }
+    }
+
+    /// Converts the entries to the core's terms. An unusable entry does not affect the others.
+    pub fn resolve_members(&self, names: &mut NameRegistry) -> ResolvedMembers {
+        let mut resolved = ResolvedMembers::default();
+        for member in &self.members {
+            let Ok(address) = member.host_port.parse() else {
+                let (id, address) = (member.id.clone(), member.host_port.clone());
+                resolved.errors.push(MemberError::Address { id, address });
+                continue;
+            };
+            let standing = match member.phase.as_str() {
+                "in_service" => Standing::Up,
+                "terminating" => Standing::Draining,
+                "terminated" => Standing::Gone,
+                state => {
+                    let (id, state) = (member.id.clone(), state.to_owned());
+                    resolved.errors.push(MemberError::State { id, state });
+                    Standing::Draining
+                }
+            };
+            let started_at: Micros = member.up_since_ms.saturating_mul(1000);
+            let (weight, cell) = (member.size, member.cell);
+            let (zone, kind) = (member.locality.as_str(), member.flavor.as_str());
+            let entry = NamedEntry { streamer: &member.id, zone, kind, cell, standing, weight, started_at };
+            resolved.entries.push((names.entry(&entry), address));
+        }
+        resolved
+    }
+}
--- a/src/platform/rtsp.rs
+++ b/src/platform/rtsp.rs
@@ -1,7 +1,7 @@
 //! Codec of the RTSP messages exchanged with streamers. `httparse` parses the header lines but rejects RTSP
 //! start lines (`httparse::Request::parse` returns `Error::Version` for `SETUP rtsp://media/x RTSP/1.0`; a
 //! test in `tests/codecs.rs` checks this), so start lines are parsed here.
-use super::MESSAGE_MAX;
+use super::MAX_MESSAGE_BYTES;
 use crate::director::Parcel;
 use crate::interface::{LoadReport, NoteKind, Outcome, RequestId};
 use crate::settings::load_report;
@@ -43,8 +43,8 @@
     /// A required header field is missing or invalid.
     #[error("header field {0} is missing or invalid")]
     Field(&'static str),
-    /// The message is longer than [`MESSAGE_MAX`].
-    #[error("message exceeds {MESSAGE_MAX} bytes")]
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message exceeds {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
 }
 
@@ -79,8 +79,8 @@
     // Empty lines before a message are ignored.
     let blank = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
     let bytes = bytes.get(blank..).unwrap_or_default();
-    let bounded = &bytes[..bytes.len().min(MESSAGE_MAX)];
-    let incomplete = if bytes.len() >= MESSAGE_MAX { Err(RtspError::TooLong) } else { Ok(None) };
+    let bounded = &bytes[..bytes.len().min(MAX_MESSAGE_BYTES)];
+    let incomplete = if bytes.len() >= MAX_MESSAGE_BYTES { Err(RtspError::TooLong) } else { Ok(None) };
     let Some(line_end) = bounded.iter().position(|b| *b == b'\n') else { return incomplete };
     let start_line = parse_start_line(&bounded[..line_end])?;
     let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -97,7 +97,7 @@
         None => 0,
     };
     let start = line_end + 1 + headers_len;
-    let end = start.checked_add(length).filter(|end| *end <= MESSAGE_MAX).ok_or(RtspError::TooLong)?;
+    let end = start.checked_add(length).filter(|end| *end <= MAX_MESSAGE_BYTES).ok_or(RtspError::TooLong)?;
     let Some(body) = bytes.get(start..end) else { return Ok(None) };
     Ok(Some((parse_message(&start_line, field, body)?, blank + end)))
 }
@@ -208,12 +208,12 @@
     bytes
 }
 
-/// Encodes a set-up; `None` if it would exceed [`MESSAGE_MAX`].
+/// Encodes a set-up; `None` if it would exceed [`MAX_MESSAGE_BYTES`].
 pub fn set_up(session: RequestId, parcel: &Parcel, rung: usize, wait_ms: u64) -> Option<Vec<u8>> {
     let fields =
         format!("Priority-Class: {}\r\nExpires-Ms: {wait_ms}\r\nX-Quality: {rung}\r\n", parcel.class);
     let bytes = encode_request("SETUP", &parcel.title, CSEQ_SET_UP, session, &fields, &parcel.description);
-    Some(bytes).filter(|b| b.len() <= MESSAGE_MAX)
+    Some(bytes).filter(|b| b.len() <= MAX_MESSAGE_BYTES)
 }
 
 /// Encodes the cancellation of a set-up.
--- a/src/platform/viewer.rs
+++ b/src/platform/viewer.rs
@@ -2,7 +2,7 @@
 //!
 //! A message is `length:2 type:1 session:8 parameters`, a parameter `code:1 length:2 value`. Numbers are
 //! big-endian. The length of a message does not include the length field itself.
-use super::MESSAGE_MAX;
+use super::MAX_MESSAGE_BYTES;
 use crate::interface::RequestId;
 
 const SET_UP: u8 = 1;
@@ -37,7 +37,7 @@
 /// message boundary cannot be found; all other errors are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ViewerError {
-    /// The length is less than that of the fixed part, or exceeds [`MESSAGE_MAX`].
+    /// The length is less than that of the fixed part, or exceeds [`MAX_MESSAGE_BYTES`].
     #[error("message length {0} is out of bounds")]
     Length(usize),
     /// Viewers do not send messages of this type.
@@ -105,7 +105,7 @@
 pub fn read(bytes: &[u8]) -> Result<Option<(ViewerMessage, usize)>, ViewerError> {
     let [high, low, rest @ ..] = bytes else { return Ok(None) };
     let length = usize::from(u16::from_be_bytes([*high, *low]));
-    if !(9..=MESSAGE_MAX).contains(&length) {
+    if !(9..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(ViewerError::Length(length));
     }
     let Some(body) = rest.get(..length) else { return Ok(None) };
@@ -208,7 +208,7 @@
 /// Encodes the answer that a session is established. Returns `None` if the description does not fit into one
 /// message.
 pub fn answer(session: RequestId, description: &[u8]) -> Option<Vec<u8>> {
-    let fits = description.len() + 12 <= MESSAGE_MAX;
+    let fits = description.len() + 12 <= MAX_MESSAGE_BYTES;
     fits.then(|| encode(ANSWER, session, &[(PARAM_DESCRIPTION, description)]))
 }
 
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -3,7 +3,7 @@
 mod common;
 use quickcheck::{Gen, QuickCheck, TestResult};
 use stonewharf::director::Parcel;
-use stonewharf::platform::{MESSAGE_MAX, bulletin, rtsp, viewer};
+use stonewharf::platform::{MAX_MESSAGE_BYTES, discovery, rtsp, viewer};
 use stonewharf::*;
 
 const ID: RequestId = RequestId(0x9b1f_03aa_5c7e_2d41);
@@ -58,7 +58,7 @@
     assert_eq!(viewer::release(ID, viewer::CAUSE_ENDED), viewer_message(12, &[(58, &[16])]));
     assert_eq!(viewer::answer(ID, b"sdp"), Some(viewer_message(9, &[(61, b"sdp")])));
     assert_eq!(viewer::test_result(ID, true), viewer_message(53, &[(58, &[1])]));
-    assert_eq!(viewer::answer(ID, &[0; MESSAGE_MAX]), None, "exceeds the limit of a message");
+    assert_eq!(viewer::answer(ID, &[0; MAX_MESSAGE_BYTES]), None, "exceeds the limit of a message");
 }
 
 /// An invalid length is an error that ends the connection. Set-ups with invalid or missing values or
@@ -170,8 +170,8 @@
 /// A message that never ends would otherwise be buffered without bound.
 #[test]
 fn an_oversized_message_of_a_streamer_is_an_error() {
-    assert_eq!(rtsp::read(&[b'x'; MESSAGE_MAX]), Err(rtsp::RtspError::TooLong));
-    let head = format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: {MESSAGE_MAX}\r\n\r\n");
+    assert_eq!(rtsp::read(&[b'x'; MAX_MESSAGE_BYTES]), Err(rtsp::RtspError::TooLong));
+    let head = format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: {MAX_MESSAGE_BYTES}\r\n\r\n");
     assert_eq!(rtsp::read(head.as_bytes()), Err(rtsp::RtspError::TooLong));
     let overflowing = format!("RTSP/1.0 200 OK\r\nContent-Length: {}\r\n\r\n", usize::MAX);
     assert_eq!(rtsp::read(overflowing.as_bytes()), Err(rtsp::RtspError::TooLong));
@@ -237,7 +237,7 @@
         for message in &mut corrupted {
             let index = index % message.len();
             message[index] = value;
-            let _ = (viewer::read(message), rtsp::read(message), bulletin::read(message).is_ok());
+            let _ = (viewer::read(message), rtsp::read(message), discovery::parse_line(message).is_ok());
         }
         let plausible = |used: Option<usize>| used.is_none_or(|n| n > 0 && n <= bytes.len());
         let binary = viewer::read(&bytes).ok().flatten().map(|m| m.1);
@@ -248,21 +248,21 @@
 
 #[test]
 fn bulletin_lines_are_parsed() {
-    assert!(matches!(bulletin::read(b"41"), Ok(bulletin::Line::Last(41))));
+    assert!(matches!(discovery::parse_line(b"41"), Ok(discovery::Message::Heartbeat(41))));
     let line = br#"{"no":41,"roster":{"revision":7,"complete":false,"members":[{"id":"s-00c41f7a",
         "host_port":"10.1.0.9:2905","locality":"east","flavor":"std","cell":2,"phase":"terminating","size":4,
         "up_since_ms":1700000000000}]}}"#;
-    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line) else { panic!("not parsed") };
-    let roster = notice.roster.expect("a roster");
-    assert_eq!((notice.no, roster.scope()), (41, ListScope::Delta));
+    let Ok(discovery::Message::Event(event)) = discovery::parse_line(line) else { panic!("not parsed") };
+    let update = event.update.expect("a membership update");
+    assert_eq!((event.number, update.scope()), (41, ListScope::Delta));
     let mut names = common::name_registry();
-    let members = roster.members(&mut names);
+    let members = update.resolve_members(&mut names);
     assert_eq!(members.errors, vec![]);
     let (entry, address) = &members.entries[0];
     assert_eq!(address.to_string(), "10.1.0.9:2905");
     assert_eq!((entry.cell, entry.standing, entry.weight), (2, Standing::Draining, 4.0));
     assert_eq!(entry.started_at, Some(1_700_000_000_000_000), "a start before the director's own is valid");
-    assert!(bulletin::read(b"{\"no\":").is_err());
+    assert!(discovery::parse_line(b"{\"no\":").is_err());
 }
 
 /// An unusable entry used to discard the whole event, including the drains of all other streamers.
@@ -277,8 +277,10 @@
         member("s-3", "10.1.0.8:2905", "terminating"),
     ];
     let line = format!(r#"{{"no":2,"roster":{{"members":[{}]}}}}"#, members.join(","));
-    let Ok(bulletin::Line::Notice(notice)) = bulletin::read(line.as_bytes()) else { panic!("not parsed") };
-    let members = notice.roster.expect("a roster").members(&mut common::name_registry());
+    let Ok(discovery::Message::Event(event)) = discovery::parse_line(line.as_bytes()) else {
+        panic!("not parsed")
+    };
+    let members = event.update.expect("a membership update").resolve_members(&mut common::name_registry());
     let standing: Vec<_> = members.entries.iter().map(|(entry, _)| entry.standing).collect();
     assert_eq!(standing, vec![Standing::Draining; 2], "a streamer in an unknown state gets no set-ups");
     assert_eq!(members.errors.len(), 2);
