--- a/crates/core/src/director/lifecycle.rs
+++ b/crates/core/src/director/lifecycle.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LifecycleError {
     /// The process is shutting down.
-    #[error("this process is shutting down and accepts no more clients; ask the one that serves after it")]
+    #[error("this process comes to its end and takes no clients again; ask the one that serves after it")]
     Stopping,
 }
 
--- a/src/platform/admin.rs
+++ b/src/platform/admin.rs
@@ -24,16 +24,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
     /// The request is not HTTP.
-    #[error("not an HTTP request; send for example GET /_ready HTTP/1.1")]
+    #[error("this is no HTTP call; ask as in GET /_ready HTTP/1.1")]
     Malformed,
     /// The head is too long or has too many header lines.
-    #[error("the request head may have at most {MAX_HEAD_BYTES} bytes; omit header lines")]
+    #[error("a call's head has {MAX_HEAD_BYTES} bytes at most; leave header lines out")]
     HeadTooLong,
     /// The path is unknown.
-    #[error("unknown path; use GET /_ready, GET /_vars, PUT /_lameduck/on or PUT /_lameduck/off")]
+    #[error("no such call; there are GET /_ready, GET /_vars, PUT /_lameduck/on, PUT /_lameduck/off")]
     UnknownPath,
     /// The path requires another method.
-    #[error("wrong method; use GET for /_ready and /_vars, PUT for /_lameduck/on and /_lameduck/off")]
+    #[error("wrong method; /_ready and /_vars are asked with GET, /_lameduck/on and off with PUT")]
     WrongMethod,
 }
 
--- a/tests/outer_names.rs
+++ b/tests/outer_names.rs
@@ -197,3 +197,18 @@
     let standings = [Standing::Serving, Standing::Absent].map(|standing| format!("{standing:?}"));
     assert_eq!(standings, ["Serving", "Absent"]);
 }
+
+/// The bodies of error responses on the admin address are texts that clients receive.
+#[test]
+fn admin_error_responses_keep_their_bodies() {
+    use stonewharf::platform::admin::AdminError;
+    let bodies = [
+        AdminError::Malformed.to_string(),
+        AdminError::HeadTooLong.to_string(),
+        AdminError::UnknownPath.to_string(),
+        AdminError::WrongMethod.to_string(),
+        LifecycleError::Stopping.to_string(),
+    ];
+    let expected = include_str!("outer_names/admin_errors.txt");
+    assert_eq!(bodies.to_vec(), expected.lines().collect::<Vec<_>>());
+}
