--- a/src/net/agreed/mod.rs
+++ b/src/net/agreed/mod.rs
@@ -10,7 +10,7 @@
 use super::narrowed::Narrowed;
 use super::peers::{Handed, Peers};
 use super::poll::Token;
-use super::shared::{Due, Shared};
+use super::shared::{Deadline, Shared};
 use super::store::StoreThread;
 use crate::director::Input;
 use crate::interface::{ListScope, Micros};
@@ -201,7 +201,7 @@
         let next = next.unwrap_or(Micros::MAX).max(shared.now + 1_000);
         if next < self.due_at || self.due_at <= shared.now {
             self.due_at = next;
-            shared.deadlines.set(next, Due::Agreed);
+            shared.deadlines.set(next, Deadline::Agreement);
         }
         leaves
     }
--- a/src/net/bulletin.rs
+++ b/src/net/bulletin.rs
@@ -1,8 +1,8 @@
 //! The connection to the bulletin: resumed where it broke off, given up when it falls silent.
-use super::line::{Got, Line};
-use super::part::{Part, Ready};
+use super::component::{Component, Ready};
+use super::connection::{Connection, ReadOutcome};
 use super::poll::Token;
-use super::shared::{Due, Heard, Shared};
+use super::shared::{Deadline, Event, Shared};
 use crate::director::Director;
 use crate::interface::Micros;
 use crate::platform::MESSAGE_MAX;
@@ -31,7 +31,7 @@
 /// The bulletin as this director follows it.
 pub struct Bulletin {
     address: SocketAddr,
-    line: Option<Line>,
+    line: Option<Connection>,
     up: bool,
     last: u64,
     /// By when something must be heard, or when to connect again.
@@ -64,7 +64,7 @@
         if self.line.is_some() {
             return self.broke(shared, "silent");
         }
-        match Line::dial(&mut shared.poll, self.address) {
+        match Connection::connect(&mut shared.poll, self.address) {
             Ok(line) => {
                 (self.line, self.up) = (Some(line), false);
                 self.expect(shared, DIAL_US);
@@ -75,7 +75,7 @@
 
     fn expect(&mut self, shared: &mut Shared, within: Micros) {
         self.due = shared.now.saturating_add(within);
-        shared.deadlines.set(self.due, Due::Bulletin);
+        shared.deadlines.set(self.due, Deadline::Discovery);
     }
 
     fn broke(&mut self, shared: &mut Shared, why: &str) {
@@ -91,12 +91,12 @@
     fn exchange(&mut self, shared: &mut Shared, Ready { readable, writable, .. }: Ready) -> Vec<Notice> {
         let Some(line) = self.line.as_mut() else { return Vec::new() };
         if writable && !self.up {
-            if let Err(why) = line.outcome() {
+            if let Err(why) = line.connect_result() {
                 self.broke(shared, &why.to_string());
                 return Vec::new();
             }
             self.up = true;
-            line.put(&bulletin::ask_after(self.last));
+            line.queue(&bulletin::ask_after(self.last));
             self.expect(shared, SILENT_US);
         }
         let Some(line) = self.line.as_mut() else { return Vec::new() };
@@ -108,7 +108,7 @@
             return Vec::new();
         }
         let got = line.read();
-        let (lines, endless) = line.take(whole_line);
+        let (lines, endless) = line.take_messages(whole_line);
         if !lines.is_empty() {
             self.expect(shared, SILENT_US);
         }
@@ -127,8 +127,8 @@
                 shared.counters.malformed += 1;
                 self.broke(shared, "an endless line");
             }
-            Ok(Got::Bytes) => {}
-            Ok(Got::End) => self.broke(shared, "closed"),
+            Ok(ReadOutcome::Open) => {}
+            Ok(ReadOutcome::Eof) => self.broke(shared, "closed"),
             Err(why) => self.broke(shared, &why.to_string()),
         }
         news
@@ -163,18 +163,18 @@
     }
 }
 
-impl Part for Bulletin {
+impl Component for Bulletin {
     fn owns(&self, token: Token) -> bool {
         self.line.as_ref().is_some_and(|l| l.token() == token)
     }
 
-    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
         let news = self.exchange(shared, ready);
-        shared.heard.extend(news.into_iter().map(Heard::Notice));
+        shared.events.extend(news.into_iter().map(Event::Discovery));
     }
 
-    fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
-        let own = due == Due::Bulletin;
+    fn on_deadline(&mut self, shared: &mut Shared, _: &Director, deadline: Deadline) -> bool {
+        let own = deadline == Deadline::Discovery;
         if own {
             self.look(shared);
         }
--- a/src/net/line.rs
+++ b/src/net/connection.rs
@@ -1,54 +1,54 @@
 //! A connection's socket with its buffers: partial reads and writes, bounded on both sides.
-use super::poll::{Poll, Token, Watched};
+use super::poll::{Poll, Registered, Token};
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
 
 /// Bytes read from one connection in one turn at most, so that none keeps the others waiting.
-const READ_MOST: usize = 64 * 1024;
+const MAX_READ_PER_TURN: usize = 64 * 1024;
 
 /// What an idle buffer may keep.
-const KEPT: usize = 4 * 1024;
+const IDLE_BUFFER_CAPACITY: usize = 4 * 1024;
 
 /// What reading brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ReadOutcome {
     /// Perhaps more bytes; the connection goes on.
-    Bytes,
+    Open,
     /// The peer has closed its side in order.
-    End,
+    Eof,
 }
 
 /// A connection.
-pub struct Line {
-    socket: Watched<TcpStream>,
-    inbox: Vec<u8>,
-    outbox: Vec<u8>,
+pub struct Connection {
+    socket: Registered<TcpStream>,
+    read_buffer: Vec<u8>,
+    write_buffer: Vec<u8>,
     written: usize,
     /// Bytes ever added to what is to be written.
-    put_total: u64,
+    queued_total: u64,
     /// Bytes ever read.
     read_total: u64,
     /// It is watched for what comes.
-    reads: bool,
+    read_interest: bool,
 }
 
-impl Line {
+impl Connection {
     /// Takes a connection that is up.
     pub fn accepted(poll: &mut Poll, stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Line::new(poll, stream, false)
+        Connection::new(poll, stream, false)
     }
 
-    /// Begins to connect; readiness to write tells when that is over, [`Line::outcome`] how.
-    pub fn dial(poll: &mut Poll, to: SocketAddr) -> io::Result<Self> {
-        Line::dial_from(poll, None, to)
+    /// Begins to connect; readiness to write tells when that is over, [`Connection::connect_result`] how.
+    pub fn connect(poll: &mut Poll, to: SocketAddr) -> io::Result<Self> {
+        Connection::connect_from(poll, None, to)
     }
 
     /// The same, from an address of this machine.
-    pub fn dial_from(poll: &mut Poll, from: Option<IpAddr>, to: SocketAddr) -> io::Result<Self> {
+    pub fn connect_from(poll: &mut Poll, from: Option<IpAddr>, to: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         if let Some(from) = from {
@@ -61,29 +61,29 @@
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
-        Line::new(poll, socket.into(), true)
+        Connection::new(poll, socket.into(), true)
     }
 
     fn new(poll: &mut Poll, stream: TcpStream, writable: bool) -> io::Result<Self> {
-        let socket = poll.watch(stream, writable)?;
-        Ok(Line {
+        let socket = poll.register(stream, writable)?;
+        Ok(Connection {
             socket,
-            inbox: Vec::new(),
-            outbox: Vec::new(),
+            read_buffer: Vec::new(),
+            write_buffer: Vec::new(),
             written: 0,
-            put_total: 0,
+            queued_total: 0,
             read_total: 0,
-            reads: true,
+            read_interest: true,
         })
     }
 
     /// How the connecting ended.
-    pub fn outcome(&mut self) -> io::Result<()> {
+    pub fn connect_result(&mut self) -> io::Result<()> {
         if let Some(why) = self.socket.source().take_error()? {
             return Err(why);
         }
         self.socket.source().peer_addr()?;
-        self.socket.interest(true, false)
+        self.socket.set_interest(true, false)
     }
 
     /// Its token.
@@ -92,14 +92,14 @@
     }
 
     /// Reads what has come.
-    pub fn read(&mut self) -> io::Result<Got> {
+    pub fn read(&mut self) -> io::Result<ReadOutcome> {
         let mut chunk = [0; 16 * 1024];
         let mut total = 0;
-        while total < READ_MOST {
+        while total < MAX_READ_PER_TURN {
             match self.socket.source().read(&mut chunk) {
-                Ok(0) => return Ok(Got::End),
+                Ok(0) => return Ok(ReadOutcome::Eof),
                 Ok(n) => {
-                    self.inbox.extend_from_slice(chunk.get(..n).unwrap_or_default());
+                    self.read_buffer.extend_from_slice(chunk.get(..n).unwrap_or_default());
                     total += n;
                     self.read_total += n as u64;
                 }
@@ -108,18 +108,18 @@
                 Err(e) => return Err(e),
             }
         }
-        Ok(Got::Bytes)
+        Ok(ReadOutcome::Open)
     }
 
     /// Takes whole messages off what has been read, one at a time, with `parse`; also those ahead of what
     /// can't be read, and why that can't.
-    pub fn take<M, E>(
+    pub fn take_messages<M, E>(
         &mut self,
         parse: impl Fn(&[u8]) -> Result<Option<(M, usize)>, E>,
     ) -> (Vec<M>, Option<E>) {
         let (mut messages, mut at) = (Vec::new(), 0);
         let bad = loop {
-            match parse(self.inbox.get(at..).unwrap_or_default()) {
+            match parse(self.read_buffer.get(at..).unwrap_or_default()) {
                 Ok(Some((message, length))) => {
                     messages.push(message);
                     at += length;
@@ -128,26 +128,26 @@
                 Err(e) => break Some(e),
             }
         };
-        self.inbox.drain(..at.min(self.inbox.len()));
-        shrink(&mut self.inbox);
+        self.read_buffer.drain(..at.min(self.read_buffer.len()));
+        release_excess_capacity(&mut self.read_buffer);
         (messages, bad)
     }
 
     /// Takes one whole message off what has been read, with `parse`; `None` where none is whole yet.
-    pub fn take_one<M, E>(
+    pub fn take_message<M, E>(
         &mut self,
         parse: impl FnOnce(&[u8]) -> Result<Option<(M, usize)>, E>,
     ) -> Result<Option<M>, E> {
-        Ok(parse(&self.inbox)?.map(|(message, length)| {
-            self.inbox.drain(..length.min(self.inbox.len()));
+        Ok(parse(&self.read_buffer)?.map(|(message, length)| {
+            self.read_buffer.drain(..length.min(self.read_buffer.len()));
             message
         }))
     }
 
     /// Drops what has been read.
-    pub fn discard(&mut self) {
-        self.inbox.clear();
-        shrink(&mut self.inbox);
+    pub fn discard_read(&mut self) {
+        self.read_buffer.clear();
+        release_excess_capacity(&mut self.read_buffer);
     }
 
     /// Bytes that have been read so far.
@@ -156,77 +156,77 @@
     }
 
     /// Whether part of a message has been read.
-    pub fn partial(&self) -> bool {
-        !self.inbox.is_empty()
+    pub fn has_partial_message(&self) -> bool {
+        !self.read_buffer.is_empty()
     }
 
     /// Adds bytes to what is to be written.
-    pub fn put(&mut self, bytes: &[u8]) {
-        self.outbox.extend_from_slice(bytes);
-        self.put_total += bytes.len() as u64;
+    pub fn queue(&mut self, bytes: &[u8]) {
+        self.write_buffer.extend_from_slice(bytes);
+        self.queued_total += bytes.len() as u64;
     }
 
-    /// Bytes ever added to what is to be written; with [`Line::written_total`] it tells what has left.
-    pub fn put_total(&self) -> u64 {
-        self.put_total
+    /// Bytes ever added to what is to be written; with [`Connection::written_total`] it tells what has left.
+    pub fn queued_total(&self) -> u64 {
+        self.queued_total
     }
 
     /// Bytes that the machine has taken so far.
     pub fn written_total(&self) -> u64 {
-        self.put_total - self.unwritten() as u64
+        self.queued_total - self.unwritten_len() as u64
     }
 
     /// Takes back what was added last, if not a byte of it has been written.
-    pub fn take_back(&mut self) -> bool {
-        let whole = !self.outbox.is_empty() && self.written == 0;
+    pub fn unqueue(&mut self) -> bool {
+        let whole = !self.write_buffer.is_empty() && self.written == 0;
         if whole {
-            self.put_total -= self.outbox.len() as u64;
-            self.outbox.clear();
+            self.queued_total -= self.write_buffer.len() as u64;
+            self.write_buffer.clear();
         }
         whole
     }
 
     /// Sets whether it is watched for what comes. Its break is told all the same.
-    pub fn watch_reads(&mut self, reads: bool) -> io::Result<()> {
-        self.reads = reads;
-        self.socket.interest(reads, self.unwritten() > 0)
+    pub fn set_read_interest(&mut self, interest: bool) -> io::Result<()> {
+        self.read_interest = interest;
+        self.socket.set_interest(interest, self.unwritten_len() > 0)
     }
 
     /// Bytes that are still to be written.
-    pub fn unwritten(&self) -> usize {
-        self.outbox.len() - self.written
+    pub fn unwritten_len(&self) -> usize {
+        self.write_buffer.len() - self.written
     }
 
     /// Ends this side in order; what the peer still sends can be read.
-    pub fn finish(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         self.socket.source().shutdown(Shutdown::Write)
     }
 
     /// Writes as much as the socket takes; tells whether all is written.
     pub fn write(&mut self) -> io::Result<bool> {
-        while self.written < self.outbox.len() {
-            match self.socket.source().write(self.outbox.get(self.written..).unwrap_or_default()) {
+        while self.written < self.write_buffer.len() {
+            match self.socket.source().write(self.write_buffer.get(self.written..).unwrap_or_default()) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.socket.interest(self.reads, true)?;
+                    self.socket.set_interest(self.read_interest, true)?;
                     return Ok(false);
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
         }
-        self.outbox.clear();
-        shrink(&mut self.outbox);
+        self.write_buffer.clear();
+        release_excess_capacity(&mut self.write_buffer);
         self.written = 0;
-        self.socket.interest(self.reads, false)?;
+        self.socket.set_interest(self.read_interest, false)?;
         Ok(true)
     }
 }
 
 /// Gives back what a burst has left a buffer with.
-fn shrink(buffer: &mut Vec<u8>) {
-    if buffer.capacity() > KEPT && buffer.len() <= KEPT {
-        buffer.shrink_to(KEPT);
+fn release_excess_capacity(buffer: &mut Vec<u8>) {
+    if buffer.capacity() > IDLE_BUFFER_CAPACITY && buffer.len() <= IDLE_BUFFER_CAPACITY {
+        buffer.shrink_to(IDLE_BUFFER_CAPACITY);
     }
 }
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -1,10 +1,10 @@
 //! The operators' door: its listener and the callers on it. It owns their sockets and their time; what a call
 //! does is said by whoever hears it. Callers that say nothing cost a place for a while, and give it up to the
 //! next one where all are taken.
-use super::line::{Got, Line};
-use super::part::{Part, Ready};
-use super::poll::{Token, Watched};
-use super::shared::{Due, Heard, Shared};
+use super::component::{Component, Ready};
+use super::connection::{Connection, ReadOutcome};
+use super::poll::{Registered, Token};
+use super::shared::{Deadline, Event, Shared};
 use crate::director::Director;
 use crate::interface::Micros;
 use crate::platform::door::{self, CallError};
@@ -38,14 +38,14 @@
 
 /// A caller.
 struct Caller {
-    line: Line,
+    line: Connection,
     since: Micros,
     stage: Stage,
 }
 
 /// The door.
 pub struct Door {
-    listener: Watched<TcpListener>,
+    listener: Registered<TcpListener>,
     callers: BTreeMap<Token, Caller>,
 }
 
@@ -53,7 +53,7 @@
     /// Takes calls from a listener.
     pub fn on(shared: &mut Shared, listener: TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
-        Ok(Door { listener: shared.poll.watch(listener, false)?, callers: BTreeMap::new() })
+        Ok(Door { listener: shared.poll.register(listener, false)?, callers: BTreeMap::new() })
     }
 
     fn accept(&mut self, shared: &mut Shared) {
@@ -62,11 +62,11 @@
                 return self.pause(shared); // the backlog keeps them
             }
             match self.listener.source().accept() {
-                Ok((stream, _)) => match Line::accepted(&mut shared.poll, stream) {
+                Ok((stream, _)) => match Connection::accepted(&mut shared.poll, stream) {
                     Ok(line) => {
                         let token = line.token();
                         self.callers.insert(token, Caller { line, since: shared.now, stage: Stage::Asking });
-                        shared.wake(STAYS_US, Due::Door(token));
+                        shared.schedule(STAYS_US, Deadline::AdminConnection(token));
                         // A caller mostly has its call ready.
                         self.exchange(shared, Ready { token, readable: true, writable: false });
                     }
@@ -100,8 +100,8 @@
     }
 
     fn pause(&mut self, shared: &mut Shared) {
-        if self.listener.interest(false, false).is_ok() {
-            shared.wake(PAUSE_US, Due::Door(self.listener.token()));
+        if self.listener.set_interest(false, false).is_ok() {
+            shared.schedule(PAUSE_US, Deadline::AdminConnection(self.listener.token()));
         }
     }
 
@@ -119,13 +119,13 @@
         let got = caller.line.read();
         if caller.stage != Stage::Asking {
             // One call a connection: what else it says is read, so that it can read its answer, and dropped.
-            caller.line.discard();
+            caller.line.discard_read();
         } else {
-            match caller.line.take_one(door::read) {
+            match caller.line.take_message(door::read) {
                 Ok(Some(call)) => {
                     shared.counters.calls += 1;
                     caller.stage = Stage::Heard;
-                    shared.heard.push(Heard::Call(token, call));
+                    shared.events.push(Event::AdminCall(token, call));
                 }
                 Ok(None) => {}
                 Err(why) => self.refuse(shared, token, why),
@@ -133,8 +133,8 @@
         }
         // One that has ended its own side may still read the answer that is on its way to it.
         let done =
-            |c: &Caller| c.stage == Stage::Asking || (c.stage == Stage::Told && c.line.unwritten() == 0);
-        let over = matches!(got, Ok(Got::End)) && self.callers.get(&token).is_some_and(done);
+            |c: &Caller| c.stage == Stage::Asking || (c.stage == Stage::Told && c.line.unwritten_len() == 0);
+        let over = matches!(got, Ok(ReadOutcome::Eof)) && self.callers.get(&token).is_some_and(done);
         if over || got.is_err() {
             self.close(shared, token);
         }
@@ -150,14 +150,14 @@
     pub fn answer(&mut self, shared: &mut Shared, token: Token, status: u16, body: &str) {
         let Some(caller) = self.callers.get_mut(&token) else { return };
         caller.stage = Stage::Told;
-        caller.line.put(&door::answer(status, body));
+        caller.line.queue(&door::answer(status, body));
         self.flush(shared, token);
     }
 
     fn flush(&mut self, shared: &mut Shared, token: Token) {
         let Some(caller) = self.callers.get_mut(&token).filter(|c| c.stage == Stage::Told) else { return };
         let ended = match caller.line.write() {
-            Ok(true) => caller.line.finish(),
+            Ok(true) => caller.line.shutdown_write(),
             Ok(false) => return,
             Err(why) => Err(why),
         };
@@ -168,12 +168,12 @@
     }
 }
 
-impl Part for Door {
+impl Component for Door {
     fn owns(&self, token: Token) -> bool {
         self.callers.contains_key(&token) || self.listener.token() == token
     }
 
-    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
         if self.listener.token() == ready.token {
             self.accept(shared);
         } else {
@@ -181,10 +181,10 @@
         }
     }
 
-    fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
-        let Due::Door(token) = due else { return false };
+    fn on_deadline(&mut self, shared: &mut Shared, _: &Director, deadline: Deadline) -> bool {
+        let Deadline::AdminConnection(token) = deadline else { return false };
         if self.listener.token() == token {
-            if let Err(why) = self.listener.interest(true, false) {
+            if let Err(why) = self.listener.set_interest(true, false) {
                 warn!(shared.log, "the operators' door can't be watched: {why}");
             }
             self.accept(shared);
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -188,7 +188,7 @@
 
     /// Sends what has to leave ahead of the core's deeds.
     pub(super) fn estate_words(&mut self) {
-        if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.parts.peers) {
+        if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.components.peers) {
             agreed.say_of_estates(&mut self.shared, peers);
         }
     }
@@ -215,7 +215,7 @@
                 Deed::Settle(id, streamer) => {
                     if let Some(at) = self.names.streamers.get(&streamer).map(StreamerId) {
                         let (id, word) = (RequestId(id), rtsp::release(RequestId(id)));
-                        self.parts.streamers.word(&mut self.shared, at, word, Some(id));
+                        self.components.streamers.word(&mut self.shared, at, word, Some(id));
                     }
                 }
                 Deed::Yield(id) => self.shared.inputs.push(Input::ViewerLeft(NOBODY, RequestId(id))),
@@ -225,7 +225,7 @@
                         RequestId(id),
                         crate::platform::viewer::CAUSE_FAILED,
                     );
-                    self.parts.viewers.release(shared, NOBODY, bytes);
+                    self.components.viewers.release(shared, NOBODY, bytes);
                 }
                 Deed::LayDown(ids) => {
                     let ids = ids.into_iter().map(RequestId).collect();
--- a/src/net/duty.rs
+++ b/src/net/lifecycle.rs
@@ -1,7 +1,7 @@
 //! What the director's duty towards its clients means on the sockets: calls at the door, sending viewers
 //! away, and the end. What follows from what is decided in the core (`director::Lifecycle`).
 use super::poll::Token;
-use super::shared::Due;
+use super::shared::Deadline;
 use super::{Node, estate, signals};
 use crate::director::{ClientActions, CloseScope, Input, Output};
 use crate::interface::{Micros, RequestId};
@@ -25,11 +25,11 @@
 
 /// How far the process is on its way to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Phase {
+pub(super) enum ShutdownPhase {
     /// Requests are served, in the grace period, too.
     Serving,
     /// The grace period ends with this turn: what is open is answered, and what was read with it refused.
-    LastTurn,
+    FinalTurn,
     /// What still comes is refused, and connections are ended in order.
     Closing {
         /// Since when.
@@ -63,8 +63,8 @@
                 Err(why) => (409, format!("{why}\n")),
             },
         };
-        if let Some(door) = &mut self.parts.door {
-            door.answer(&mut self.shared, token, status, &body);
+        if let Some(admin) = &mut self.components.admin {
+            admin.answer(&mut self.shared, token, status, &body);
         }
     }
 
@@ -84,11 +84,11 @@
         }
         let at = self.duty.stop_deadline().unwrap_or(self.shared.now);
         info!(self.shared.log, "asked to end"; "grace_ms" => at.saturating_sub(self.shared.now) / 1000);
-        self.parts.peers.iter_mut().for_each(|peers| peers.leaving(self.shared.now));
+        self.components.peers.iter_mut().for_each(|peers| peers.leaving(self.shared.now));
         self.estate_leaves();
-        self.shared.deadlines.set(at, Due::Quit);
+        self.shared.deadlines.set(at, Deadline::PhaseEnd);
         if !self.duty.accepts_connections() {
-            self.parts.viewers.shut(&self.shared);
+            self.components.viewers.shut(&self.shared);
         }
         self.look_at_duty();
     }
@@ -107,13 +107,13 @@
 
     fn look_at_duty(&mut self) {
         if let Some(after) = self.duty.poll_interval() {
-            self.shared.wake(after, Due::Away);
+            self.shared.schedule(after, Deadline::LifecyclePoll);
         }
     }
 
     /// Does what the duty asks about the viewers' connections, and looks again while it may change.
     pub(super) fn send_away(&mut self) {
-        if self.phase != Phase::Serving {
+        if self.phase != ShutdownPhase::Serving {
             return;
         }
         let ClientActions { close, expire_pending } = self.duty.poll(self.shared.now);
@@ -122,10 +122,10 @@
             self.shared.inputs.push(Input::Hurry);
         }
         if close != CloseScope::None {
-            self.parts.viewers.send_away(&mut self.shared, &self.director, close == CloseScope::All);
+            self.components.viewers.send_away(&mut self.shared, &self.director, close == CloseScope::All);
             self.take_in();
         }
-        if self.duty.may_stop_early(self.parts.viewers.held() + self.director.pending_requests()) {
+        if self.duty.may_stop_early(self.components.viewers.held() + self.director.pending_requests()) {
             return self.quit();
         }
         self.look_at_duty();
@@ -134,8 +134,8 @@
     /// The grace period is over, or the time after it.
     pub(super) fn quit(&mut self) {
         self.phase = match self.phase {
-            Phase::Serving | Phase::LastTurn => Phase::LastTurn,
-            Phase::Closing { .. } | Phase::Done => Phase::Done,
+            ShutdownPhase::Serving | ShutdownPhase::FinalTurn => ShutdownPhase::FinalTurn,
+            ShutdownPhase::Closing { .. } | ShutdownPhase::Done => ShutdownPhase::Done,
         };
     }
 
@@ -148,15 +148,15 @@
             inputs.retain(|input| !matches!(input, Input::Wanted { request, .. } if dropped(request.id)));
         }
         match self.phase {
-            Phase::Serving => self.director.turn(now, inputs),
-            Phase::LastTurn => {
+            ShutdownPhase::Serving => self.director.turn(now, inputs),
+            ShutdownPhase::FinalTurn => {
                 let (late, heard): (Vec<Input>, Vec<Input>) =
                     inputs.into_iter().partition(|input| matches!(input, Input::Wanted { .. }));
                 let mut deeds = self.director.turn(now, heard);
                 deeds.extend(self.director.turn_after_close(late, self.leaves_sessions()));
                 deeds
             }
-            Phase::Closing { .. } | Phase::Done => {
+            ShutdownPhase::Closing { .. } | ShutdownPhase::Done => {
                 self.director.turn_after_close(inputs, self.leaves_sessions())
             }
         }
@@ -170,22 +170,22 @@
     /// Goes on with the end as a turn is over: answers what is open, ends the connections, and leaves when
     /// none is left or the time is up.
     pub(super) fn advance_end(&mut self) {
-        if self.phase == Phase::LastTurn {
+        if self.phase == ShutdownPhase::FinalTurn {
             self.close();
         }
-        self.parts.viewers.advance_closing(&mut self.shared, &self.director);
-        let Phase::Closing { since } = self.phase else { return };
+        self.components.viewers.advance_closing(&mut self.shared, &self.director);
+        let ShutdownPhase::Closing { since } = self.phase else { return };
         let over = since.saturating_add(CLOSING_US) <= self.shared.now;
-        let left = self.parts.viewers.held() == 0 && !self.parts.streamers.writes();
-        if left || over && !self.parts.viewers.writes() {
-            self.phase = Phase::Done;
+        let left = self.components.viewers.held() == 0 && !self.components.streamers.writes();
+        if left || over && !self.components.viewers.writes() {
+            self.phase = ShutdownPhase::Done;
         }
     }
 
     /// The core closes all that is open. The process stays while answers and releases are not yet written and
     /// connections not yet ended, for a bounded time.
     fn close(&mut self) {
-        self.phase = Phase::Closing { since: self.shared.now };
+        self.phase = ShutdownPhase::Closing { since: self.shared.now };
         if let Some(place) = &self.estate
             && let Err(why) = estate::leave(place, &self.director.sessions_to_hand_over())
         {
@@ -193,13 +193,13 @@
         }
         let deeds = self.director.close(self.leaves_sessions());
         deeds.into_iter().for_each(|deed| self.carry_out(deed));
-        self.parts.streamers.flush(&mut self.shared);
-        self.parts.peers.iter_mut().for_each(|peers| peers.leave(&mut self.shared));
-        self.parts.viewers.close_all(&self.shared);
-        if self.parts.viewers.writes() || self.parts.streamers.writes() {
+        self.components.streamers.flush(&mut self.shared);
+        self.components.peers.iter_mut().for_each(|peers| peers.leave(&mut self.shared));
+        self.components.viewers.close_all(&self.shared);
+        if self.components.viewers.writes() || self.components.streamers.writes() {
             info!(self.shared.log, "waits for its last messages to be written");
         }
-        self.shared.wake(CLOSING_US, Due::Closing);
-        self.shared.wake(LAST_WRITES_US, Due::Quit);
+        self.shared.schedule(CLOSING_US, Deadline::Closing);
+        self.shared.schedule(LAST_WRITES_US, Deadline::PhaseEnd);
     }
 }
--- a/src/net/hear.rs
+++ b/src/net/messages.rs
@@ -19,13 +19,13 @@
 
 impl Node {
     pub(super) fn heard_viewer(&mut self, link: ViewerLink, message: FromViewer) {
-        self.parts.peers.iter_mut().for_each(|peers| peers.serves(self.shared.now));
+        self.components.peers.iter_mut().for_each(|peers| peers.serves(self.shared.now));
         match message {
             FromViewer::SetUp(set_up) => self.wanted(link, *set_up),
             FromViewer::Left(id) => self.shared.inputs.push(Input::ViewerLeft(link, id)),
             FromViewer::Test(id) => {
                 let result = viewer::test_result(id, self.duty.accepts_clients());
-                self.parts.viewers.say(&mut self.shared, link, &result);
+                self.components.viewers.say(&mut self.shared, link, &result);
             }
             FromViewer::Unusable(id, why) => {
                 debug!(self.shared.log, "a set-up can't be used: {why}");
@@ -75,7 +75,7 @@
         }
         self.shared.inputs.push(match &set_up.at {
             Some(at) => {
-                self.parts.viewers.brought(link);
+                self.components.viewers.brought(link);
                 let streamer = StreamerId(self.names.streamers.get(at).unwrap_or(u32::MAX));
                 Input::Playing { link, request, streamer }
             }
@@ -106,7 +106,7 @@
             let listed: Vec<_> = entries.iter().map(|(e, _)| (e.streamer, anew(e))).collect();
             self.estate_listed(self.shared.now, &listed);
         }
-        self.parts.streamers.list(&mut self.shared, scope, &entries);
+        self.components.streamers.list(&mut self.shared, scope, &entries);
         for (entry, _) in entries.iter().filter(|e| e.0.standing == Standing::Gone) {
             self.names.streamers.remove(entry.streamer.0);
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,26 +1,26 @@
 //! The loop: one thread, one poller. Each turn gathers what is ready, hands it to the core in one go, and
 //! carries out what came back. It decides nothing.
 mod agreed;
-mod begin;
 mod bulletin;
 mod clock;
+mod component;
+mod components;
+mod connection;
 mod door;
-mod duty;
 mod error;
 mod estate;
 mod hand;
-mod hear;
-mod line;
+mod lifecycle;
 mod lives;
 pub mod logging;
+mod messages;
 mod narrowed;
-mod part;
-mod parts;
 mod peers;
 mod poll;
 mod reload;
 mod shared;
 mod signals;
+mod startup;
 mod store;
 mod streamers;
 mod trace;
@@ -31,16 +31,16 @@
 use crate::settings::{NameRegistry, RawSettings, TransportSettings};
 use agreed::Agreed;
 pub use agreed::{LogSeen, Request, Told};
-pub use begin::{digest, operator};
 use clock::Clock;
-use duty::Phase;
+use component::Ready;
+use components::Components;
 pub use error::NodeError;
-use part::Ready;
-use parts::Parts;
-use shared::{Due, Heard, Shared};
+use lifecycle::ShutdownPhase;
+use shared::{Deadline, Event, Shared};
 use signals::Asked;
 pub use signals::Signals;
 use slog::{info, trace};
+pub use startup::{digest, operator};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -58,7 +58,7 @@
     transport: TransportSettings,
     shared: Shared,
     signals: Signals,
-    parts: Parts,
+    components: Components,
     /// What the fleet agrees on, where it does.
     agreed: Option<Agreed>,
     /// The configuration's file, where it came from one, and what is in force of it.
@@ -74,7 +74,7 @@
     estate: Option<PathBuf>,
     /// What the one before left has been taken over.
     inherited: bool,
-    phase: Phase,
+    phase: ShutdownPhase,
     /// Whether every input and deed is logged, at the level `trace`.
     tracing: bool,
 }
@@ -82,7 +82,7 @@
 impl Node {
     /// Where it listens.
     pub fn address(&self) -> io::Result<SocketAddr> {
-        self.parts.viewers.address()
+        self.components.viewers.address()
     }
 
     /// What has been counted so far, by the core and by the transport.
@@ -99,7 +99,7 @@
     /// Serves until SIGTERM and the grace time after it.
     pub fn run(&mut self) -> Result<(), NodeError> {
         info!(self.shared.log, "serves"; "at" => %self.address()?);
-        while self.phase != Phase::Done {
+        while self.phase != ShutdownPhase::Done {
             self.turn(None)?;
         }
         info!(self.shared.log, "ended"; "counters" => %self.counters());
@@ -110,7 +110,7 @@
     pub fn turn(&mut self, most: Option<Duration>) -> Result<(), NodeError> {
         let next = self.shared.deadlines.next_due();
         let until = next.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
-        let heard = !self.shared.inputs.is_empty() || !self.shared.heard.is_empty();
+        let heard = !self.shared.inputs.is_empty() || !self.shared.events.is_empty();
         let left_over = heard.then_some(Duration::ZERO);
         let wait = [most, until, left_over, Some(signals::NOTICE)].into_iter().flatten().min();
         let ready = self.shared.poll.wait(wait)?;
@@ -118,19 +118,19 @@
         let asked: Vec<Asked> = self.signals.asked().collect();
         asked.into_iter().for_each(|asked| self.asked(asked));
         for (token, readable, writable) in ready {
-            self.parts.ready(&mut self.shared, &self.director, Ready { token, readable, writable });
+            self.components.on_ready(&mut self.shared, &self.director, Ready { token, readable, writable });
             self.take_in();
         }
-        while let Some(due) = self.shared.deadlines.pop_due(self.shared.now) {
-            self.due(due);
+        while let Some(deadline) = self.shared.deadlines.pop_due(self.shared.now) {
+            self.on_deadline(deadline);
         }
-        if self.phase == Phase::LastTurn {
-            self.parts.viewers.read_all(&mut self.shared);
+        if self.phase == ShutdownPhase::FinalTurn {
+            self.components.viewers.read_all(&mut self.shared);
         }
         for _ in 0..ROUNDS {
             self.take_in();
             if self.shared.inputs.is_empty() {
-                self.parts.streamers.flush(&mut self.shared);
+                self.components.streamers.flush(&mut self.shared);
             }
             if self.shared.inputs.is_empty() {
                 break;
@@ -148,9 +148,9 @@
             self.estate_words();
             deeds.into_iter().for_each(|deed| self.carry_out(deed));
         }
-        self.parts.streamers.flush(&mut self.shared);
-        self.parts.turned(&mut self.shared);
-        if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.parts.peers)
+        self.components.streamers.flush(&mut self.shared);
+        self.components.on_turn_end(&mut self.shared);
+        if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.components.peers)
             && agreed.turned(&mut self.shared, peers).is_some()
         {
             self.leave();
@@ -162,12 +162,12 @@
 
     /// Takes in what the parts have heard.
     fn take_in(&mut self) {
-        for heard in std::mem::take(&mut self.shared.heard) {
+        for heard in std::mem::take(&mut self.shared.events) {
             match heard {
-                Heard::Viewer(link, message) => self.heard_viewer(link, message),
-                Heard::Closed(token) => self.parts.viewers.ended(&mut self.shared, token),
-                Heard::Notice(notice) => self.notice(&notice, false),
-                Heard::Call(token, call) => self.called(token, call),
+                Event::ViewerMessage(link, message) => self.heard_viewer(link, message),
+                Event::ViewerClosed(token) => self.components.viewers.ended(&mut self.shared, token),
+                Event::Discovery(notice) => self.notice(&notice, false),
+                Event::AdminCall(token, call) => self.called(token, call),
             }
         }
     }
@@ -192,13 +192,13 @@
         self.leave();
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Agreed | Due::Closing => {} // looked at as the turn ends
-            Due::Core(due) => self.shared.inputs.push(Input::Due(due)),
-            Due::Away => self.send_away(),
-            Due::Quit => self.quit(),
-            due => self.parts.due(&mut self.shared, &self.director, due),
+    fn on_deadline(&mut self, deadline: Deadline) {
+        match deadline {
+            Deadline::Agreement | Deadline::Closing => {} // looked at as the turn ends
+            Deadline::Core(due) => self.shared.inputs.push(Input::Due(due)),
+            Deadline::LifecyclePoll => self.send_away(),
+            Deadline::PhaseEnd => self.quit(),
+            deadline => self.components.on_deadline(&mut self.shared, &self.director, deadline),
         }
     }
 
@@ -206,35 +206,35 @@
         let shared = &mut self.shared;
         match deed {
             Output::Answer(link, id, description) => match viewer::answer(id, &description) {
-                Some(bytes) => self.parts.viewers.stands(shared, link, id, &bytes),
+                Some(bytes) => self.components.viewers.stands(shared, link, id, &bytes),
                 None => {
-                    self.parts.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
+                    self.components.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
                     shared.inputs.push(Input::Undelivered(id));
                 }
             },
             Output::Refuse(link, id, hold_off_us) => {
-                self.parts.viewers.say(shared, link, &viewer::refusal(id, hold_off_us / 1000));
+                self.components.viewers.say(shared, link, &viewer::refusal(id, hold_off_us / 1000));
             }
             Output::Fail(link, id) => {
-                self.parts.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
+                self.components.viewers.say(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
             }
-            Output::Spurn(link, id) => self.parts.viewers.spurn(shared, link, id),
+            Output::Spurn(link, id) => self.components.viewers.spurn(shared, link, id),
             Output::Release(link, id, why) => {
                 let cause = if why == SessionEnd::Ended { viewer::CAUSE_ENDED } else { viewer::CAUSE_FAILED };
-                self.parts.viewers.release(shared, link, viewer::release(id, cause));
+                self.components.viewers.release(shared, link, viewer::release(id, cause));
             }
-            Output::MoveOff(link, id) => self.parts.viewers.release(shared, link, viewer::move_off(id)),
-            Output::SetUp(set_up) => self.parts.streamers.set_up(shared, set_up),
-            Output::GiveUp(streamer, attempt) => self.parts.streamers.give_up(shared, streamer, attempt),
+            Output::MoveOff(link, id) => self.components.viewers.release(shared, link, viewer::move_off(id)),
+            Output::SetUp(set_up) => self.components.streamers.set_up(shared, set_up),
+            Output::GiveUp(streamer, attempt) => self.components.streamers.give_up(shared, streamer, attempt),
             Output::Drop(streamer, id) => {
-                self.parts.streamers.word(shared, streamer, rtsp::release(id), Some(id))
+                self.components.streamers.word(shared, streamer, rtsp::release(id), Some(id))
             }
             Output::Rung(streamer, id, rung) => {
-                self.parts.streamers.word(shared, streamer, rtsp::rung(id, rung), Some(id));
+                self.components.streamers.word(shared, streamer, rtsp::rung(id, rung), Some(id));
             }
-            Output::Probe(streamer) => self.parts.streamers.probe(shared, streamer),
-            Output::Attend(streamer) => self.parts.streamers.attend(shared, streamer),
-            Output::Wake(at, due) => shared.deadlines.set(at, Due::Core(due)),
+            Output::Probe(streamer) => self.components.streamers.probe(shared, streamer),
+            Output::Attend(streamer) => self.components.streamers.attend(shared, streamer),
+            Output::Wake(at, due) => shared.deadlines.set(at, Deadline::Core(due)),
             Output::Log(words) => info!(shared.log, "{words}"),
         }
     }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,10 +1,10 @@
 //! The peers' side: one UDP socket and one listener on the address of the block `fleet`, and links to few
 //! peers at a time. Reads and writes what the fleet says; what a peer does costs bounded memory and a bounded
 //! part of a turn. Exists only where the fleet is on. Decides nothing.
-use super::line::{Got, Line};
-use super::part::{Part, Ready};
-use super::poll::{Token, Watched};
-use super::shared::{Due, Shared};
+use super::component::{Component, Ready};
+use super::connection::{Connection, ReadOutcome};
+use super::poll::{Registered, Token};
+use super::shared::{Deadline, Shared};
 use crate::director::Director;
 use crate::interface::Micros;
 use slog::{Logger, debug, info, warn};
@@ -42,7 +42,7 @@
 
 /// A link: in or out, with what waits for it.
 struct Link {
-    line: Line,
+    line: Connection,
     /// Where it leads; `None` for one that came in.
     to: Option<SocketAddrV4>,
     up: bool,
@@ -72,8 +72,8 @@
 /// The sockets of the fleet.
 pub struct Peers {
     fleet: Fleet,
-    socket: Watched<UdpSocket>,
-    listener: Watched<TcpListener>,
+    socket: Registered<UdpSocket>,
+    listener: Registered<TcpListener>,
     own: IpAddr,
     links: BTreeMap<Token, Link>,
     /// Where no link goes before a time.
@@ -99,8 +99,8 @@
         let at = listener.local_addr()?; // with the port that was chosen, where none was stated
         let socket = UdpSocket::bind(at)?;
         socket.set_nonblocking(true)?;
-        let listener = shared.poll.watch(listener, false)?;
-        let socket = shared.poll.watch(socket, false)?;
+        let listener = shared.poll.register(listener, false)?;
+        let socket = shared.poll.register(socket, false)?;
         let me = fleet.me();
         info!(shared.log, "listens for peers"; "peers_at" => %at, "member" => &*me.name,
             "incarnation" => me.incarnation, "at_us" => shared.now);
@@ -191,7 +191,7 @@
         let next = self.fleet.next();
         if next < self.due_at {
             self.due_at = next;
-            shared.deadlines.set(next, Due::Fleet);
+            shared.deadlines.set(next, Deadline::Fleet);
         }
     }
 
@@ -230,17 +230,17 @@
                 let oldest = incoming.min_by_key(|l| l.used_at).map(|l| l.line.token());
                 oldest.into_iter().for_each(|token| self.close(shared, token));
             }
-            if let Ok(line) = Line::accepted(&mut shared.poll, stream) {
+            if let Ok(line) = Connection::accepted(&mut shared.poll, stream) {
                 self.take(shared, line, None);
             }
         }
     }
 
-    fn take(&mut self, shared: &mut Shared, line: Line, to: Option<SocketAddrV4>) -> Token {
+    fn take(&mut self, shared: &mut Shared, line: Connection, to: Option<SocketAddrV4>) -> Token {
         let token = line.token();
         let (up, queue) = (to.is_none(), VecDeque::new());
         self.links.insert(token, Link { line, to, up, queue, queued: 0, used_at: shared.now });
-        shared.wake(if up { IDLE_US } else { DIAL_US }, Due::Peer(token));
+        shared.schedule(if up { IDLE_US } else { DIAL_US }, Deadline::PeerConnection(token));
         token
     }
 
@@ -259,15 +259,15 @@
             if !writable {
                 return;
             }
-            if link.line.outcome().is_err() {
+            if link.line.connect_result().is_err() {
                 return self.close(shared, token);
             }
             link.up = true;
-            shared.wake(IDLE_US, Due::Peer(token));
+            shared.schedule(IDLE_US, Deadline::PeerConnection(token));
         }
         if readable {
             let got = link.line.read();
-            let (frames, bad) = link.line.take(whole_frame);
+            let (frames, bad) = link.line.take_messages(whole_frame);
             if !frames.is_empty() {
                 link.used_at = shared.now;
             }
@@ -287,7 +287,7 @@
                 self.refused(Some(Refused::Unreadable));
                 return self.close(shared, token);
             }
-            if !matches!(got, Ok(Got::Bytes)) {
+            if !matches!(got, Ok(ReadOutcome::Open)) {
                 return self.close(shared, token);
             }
         }
@@ -322,7 +322,7 @@
                     self.refusals.dropped += 1;
                     return;
                 }
-                match Line::dial_from(&mut shared.poll, Some(self.own), SocketAddr::V4(to)) {
+                match Connection::connect_from(&mut shared.poll, Some(self.own), SocketAddr::V4(to)) {
                     Ok(line) => self.take(shared, line, Some(to)),
                     Err(why) => return debug!(shared.log, "no link to a peer: {why}"; "to" => %to),
                 }
@@ -338,7 +338,7 @@
         let Some(link) = self.links.get_mut(&token) else { return };
         link.queued += frame.len();
         link.queue.push_back((frame, replaceable));
-        while link.queued + link.line.unwritten() > QUEUE_MOST {
+        while link.queued + link.line.unwritten_len() > QUEUE_MOST {
             let oldest = link.queue.iter().position(|(_, replaceable)| *replaceable);
             let Some((dropped, _)) = oldest.and_then(|at| link.queue.remove(at)) else {
                 self.refusals.dropped += link.queue.len() as u64;
@@ -364,8 +364,8 @@
             let Some((frame, _)) = link.queue.pop_front() else { return };
             link.queued -= frame.len();
             link.used_at = shared.now;
-            link.line.put(&(frame.len() as u32).to_be_bytes());
-            link.line.put(&frame);
+            link.line.queue(&(frame.len() as u32).to_be_bytes());
+            link.line.queue(&frame);
         }
     }
 
@@ -374,7 +374,7 @@
         if !link.up || link.used_at.saturating_add(IDLE_US) <= shared.now {
             return self.close(shared, token);
         }
-        shared.deadlines.set(link.used_at.saturating_add(IDLE_US), Due::Peer(token));
+        shared.deadlines.set(link.used_at.saturating_add(IDLE_US), Deadline::PeerConnection(token));
     }
 
     /// Logs the view where it has changed, and now and then what was refused.
@@ -404,12 +404,12 @@
     }
 }
 
-impl Part for Peers {
+impl Component for Peers {
     fn owns(&self, token: Token) -> bool {
         self.socket.token() == token || self.listener.token() == token || self.links.contains_key(&token)
     }
 
-    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
         if ready.token == self.socket.token() {
             self.datagrams(shared);
         } else if ready.token == self.listener.token() {
@@ -419,23 +419,23 @@
         }
     }
 
-    fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
-        match due {
-            Due::Fleet if shared.now < self.due_at => {} // overtaken by an earlier one
-            Due::Fleet => {
+    fn on_deadline(&mut self, shared: &mut Shared, _: &Director, deadline: Deadline) -> bool {
+        match deadline {
+            Deadline::Fleet if shared.now < self.due_at => {} // overtaken by an earlier one
+            Deadline::Fleet => {
                 self.due_at = Micros::MAX;
                 if self.began.saturating_add(SERVES_US) <= shared.now {
                     self.serves(shared.now);
                 }
                 self.fleet.due(shared.now);
             }
-            Due::Peer(token) => self.look(shared, token),
+            Deadline::PeerConnection(token) => self.look(shared, token),
             _ => return false,
         }
         true
     }
 
-    fn turned(&mut self, shared: &mut Shared) {
+    fn on_turn_end(&mut self, shared: &mut Shared) {
         self.carry_out(shared);
         self.tell_view(shared);
         self.schedule(shared);
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -5,9 +5,10 @@
 
 fn peers() -> (Shared, Peers) {
     let poll = Poll::new().expect("a poller");
-    let (deadlines, inputs, heard, counters) = Default::default();
+    let (deadlines, inputs, events, counters) = Default::default();
     let log = Logger::root(slog::Discard, slog::o!());
-    let mut shared = Shared { poll, deadlines, inputs, heard, counters, log, now: 1_000_000, leave: None };
+    let mut shared =
+        Shared { poll, deadlines, inputs, events, counters, log, now: 1_000_000, ownership: None };
     let set = FleetSettings { cluster: "t".into(), listen: "127.0.0.1:0".into(), ..FleetSettings::default() };
     let (name, hall, version) = ("d0".to_owned(), String::new(), String::new());
     let me = Me { name, incarnation: 1, hall, version, digest: 0 };
@@ -41,7 +42,7 @@
         frame[..4].copy_from_slice(&n.to_be_bytes());
         peers.link(&mut shared, to, frame, true);
         let link = peers.links.values().find(|l| l.to == Some(to)).expect("it stays up");
-        assert!(link.queued + link.line.unwritten() <= QUEUE_MOST, "{n}");
+        assert!(link.queued + link.line.unwritten_len() <= QUEUE_MOST, "{n}");
     }
     let link = peers.links.values().find(|l| l.to == Some(to)).expect("it stays up");
     let last = link.queue.back().map(|(frame, _)| frame[..4].to_vec());
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -1,6 +1,6 @@
 //! The one place with unsafe code: `polling` leaves it to its caller that a source is taken out of the
-//! poller before it is closed. [`Watched`] owns both sides and sees to that. A descriptor that the platform
-//! hands down is taken over here, too; the rest of the crate is safe.
+//! poller before it is closed. [`Registered`] owns both sides and sees to that. A descriptor that the
+//! platform hands down is taken over here, too; the rest of the crate is safe.
 #![allow(unsafe_code)]
 use polling::{Event, Events, PollMode, Poller};
 use std::io;
@@ -17,26 +17,26 @@
 pub struct Poll {
     poller: Arc<Poller>,
     events: Events,
-    last: Token,
+    last_token: Token,
 }
 
 impl Poll {
     /// A poller that watches nothing yet.
     pub fn new() -> io::Result<Self> {
-        Ok(Poll { poller: Arc::new(Poller::new()?), events: Events::new(), last: 0 })
+        Ok(Poll { poller: Arc::new(Poller::new()?), events: Events::new(), last_token: 0 })
     }
 
     /// Watches a source for readiness to read and, where wanted, to write, until it is dropped.
-    pub fn watch<S: AsFd>(&mut self, source: S, writable: bool) -> io::Result<Watched<S>> {
-        self.last += 1;
-        let token = self.last;
-        // SAFETY: `Watched` owns the source, never gives it away or replaces it, and takes it out of the
+    pub fn register<S: AsFd>(&mut self, source: S, writable: bool) -> io::Result<Registered<S>> {
+        self.last_token += 1;
+        let token = self.last_token;
+        // SAFETY: `Registered` owns the source, never gives it away or replaces it, and takes it out of the
         // poller when dropped, before the source itself is closed; the poller lives as long, by its `Arc`.
         unsafe {
             let interest = Event::new(token, true, writable);
             self.poller.add_with_mode(&source.as_fd(), interest, PollMode::Level)?;
         }
-        Ok(Watched { source, poller: Arc::clone(&self.poller), token, writable, readable: true })
+        Ok(Registered { source, poller: Arc::clone(&self.poller), token, writable, readable: true })
     }
 
     /// What wakes the loop from another thread.
@@ -45,9 +45,9 @@
     }
 
     /// Waits until something is ready, at most `most`, and returns what: token, readable, writable.
-    pub fn wait(&mut self, most: Option<Duration>) -> io::Result<Vec<(Token, bool, bool)>> {
+    pub fn wait(&mut self, timeout: Option<Duration>) -> io::Result<Vec<(Token, bool, bool)>> {
         self.events.clear();
-        match self.poller.wait(&mut self.events, most) {
+        match self.poller.wait(&mut self.events, timeout) {
             Ok(_) => Ok(self.events.iter().map(|e| (e.key, e.readable, e.writable)).collect()),
             Err(e) if e.kind() == io::ErrorKind::Interrupted => Ok(Vec::new()),
             Err(e) => Err(e),
@@ -57,7 +57,7 @@
 
 /// Takes over a listening socket that the platform opened and hands down by number; once in a process, since
 /// two owners would close it twice. An error where it is none.
-pub fn inherit(fd: RawFd) -> io::Result<TcpListener> {
+pub fn inherit_listener(fd: RawFd) -> io::Result<TcpListener> {
     static TAKEN: AtomicBool = AtomicBool::new(false);
     if fd <= 2 || TAKEN.swap(true, Ordering::AcqRel) {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "it can't be taken over"));
@@ -86,7 +86,7 @@
 }
 
 /// A source that the poller watches for as long as this lives.
-pub struct Watched<S: AsFd> {
+pub struct Registered<S: AsFd> {
     source: S,
     poller: Arc<Poller>,
     token: Token,
@@ -94,7 +94,7 @@
     writable: bool,
 }
 
-impl<S: AsFd> Watched<S> {
+impl<S: AsFd> Registered<S> {
     /// Its token.
     pub fn token(&self) -> Token {
         self.token
@@ -106,7 +106,7 @@
     }
 
     /// Sets what it is watched for.
-    pub fn interest(&mut self, readable: bool, writable: bool) -> io::Result<()> {
+    pub fn set_interest(&mut self, readable: bool, writable: bool) -> io::Result<()> {
         if (readable, writable) == (self.readable, self.writable) {
             return Ok(());
         }
@@ -116,7 +116,7 @@
     }
 }
 
-impl<S: AsFd> Drop for Watched<S> {
+impl<S: AsFd> Drop for Registered<S> {
     fn drop(&mut self) {
         let _ = self.poller.delete(self.source.as_fd()); // it may have failed already; then nothing is left
     }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,5 +1,5 @@
 //! SIGHUP: the configuration and the operator file are read again, and taken over whole or not at all.
-use super::{Node, NodeError, begin, digest, operator};
+use super::{Node, NodeError, digest, operator, startup};
 use crate::director::Director;
 use crate::platform::config::{Config, ConfigError};
 use crate::settings::NameRegistry;
@@ -43,15 +43,15 @@
             let budgets = own.out.clone().unwrap_or_default();
             self.agreed.iter_mut().for_each(|agreed| agreed.budgets(budgets.clone()));
             let digest = digest(&own);
-            self.parts.peers.iter_mut().for_each(|peers| peers.digest(self.shared.now, digest));
+            self.components.peers.iter_mut().for_each(|peers| peers.digest(self.shared.now, digest));
             let (classes, zones) = (self.names.classes().to_vec(), &mut self.names);
             let class = |name: &str| classes.iter().position(|c| c == name);
-            halls.0.borrow_mut().configure(begin::halls_of(own), class, |name| zones.zone(name));
+            halls.0.borrow_mut().configure(startup::halls_of(own), class, |name| zones.zone(name));
         }
         info!(self.shared.log, "the configuration was read again");
         if read.config.settings != self.info {
             warn!(self.shared.log, "its settings differ from those in force and hold from the next start");
         }
-        self.parts.bulletin.follow(&mut self.shared, read.config.bulletin);
+        self.components.discovery.follow(&mut self.shared, read.config.bulletin);
     }
 }
--- a/src/net/begin.rs
+++ b/src/net/startup.rs
@@ -3,11 +3,11 @@
 use super::agreed::Agreed;
 use super::bulletin::Bulletin;
 use super::clock::Clock;
+use super::components::Components;
 use super::door::{self, Door};
-use super::duty::{Phase, grace_us};
 use super::error::NodeError;
 use super::hand::Hands;
-use super::parts::Parts;
+use super::lifecycle::{ShutdownPhase, grace_us};
 use super::peers::{self, Peers};
 use super::poll::{self, Poll};
 use super::shared::Shared;
@@ -145,8 +145,8 @@
             director = director.with_limits(Box::new(halls.clone()));
         }
         let poll = Poll::new()?;
-        let (deadlines, inputs, heard) = Default::default();
-        let mut shared = Shared { poll, deadlines, inputs, heard, counters, log, now, leave: None };
+        let (deadlines, inputs, events) = Default::default();
+        let mut shared = Shared { poll, deadlines, inputs, events, counters, log, now, ownership: None };
         let mut folder = None;
         let peers = match fleet {
             Some((fleet, set)) => {
@@ -170,32 +170,32 @@
         };
         if let (Some(agreed), Some(hand)) = (&mut agreed, lasting) {
             let hands = Hands::new(hand);
-            shared.leave = Some(hands.leave(clock.clone()));
+            shared.ownership = Some(hands.leave(clock.clone()));
             agreed.hands = Some(hands);
         }
-        let door = match config.admin_addr {
+        let admin = match config.admin_addr {
             Some(at) => {
-                let door = viewers::listen(at).and_then(|listener| {
+                let admin = viewers::listen(at).and_then(|listener| {
                     info!(shared.log, "operators call"; "at" => %listener.local_addr()?);
                     Door::on(&mut shared, listener)
                 });
-                Some(door.map_err(|why| NodeError::Listen(at, why))?)
+                Some(admin.map_err(|why| NodeError::Listen(at, why))?)
             }
             None => None,
         };
         let mut own = OWN_DESCRIPTORS;
         own += if peers.is_some() { peers::DESCRIPTORS } else { 0 };
-        own += if door.is_some() { door::DESCRIPTORS } else { 0 };
+        own += if admin.is_some() { door::DESCRIPTORS } else { 0 };
         let sockets = config.limits.sockets.saturating_sub(own);
         let listener = match config.inherited {
-            Some(fd) => poll::inherit(fd).map_err(|why| NodeError::Inherited(fd, why))?,
+            Some(fd) => poll::inherit_listener(fd).map_err(|why| NodeError::Inherited(fd, why))?,
             None => viewers::listen(config.listen).map_err(|why| NodeError::Listen(config.listen, why))?,
         };
         let viewers = Viewers::on(&mut shared, listener, sockets / 2)
             .map_err(|why| NodeError::Listen(config.listen, why))?;
         let duty = Lifecycle::new(grace_us(transport.longest_deadline_us()), config.inherited.is_some());
         let streamers = Streamers::new(transport.clone(), sockets / 2);
-        let bulletin = Bulletin::new(config.bulletin, config.known.no);
+        let discovery = Bulletin::new(config.bulletin, config.known.no);
         let mut node = Node {
             clock,
             director,
@@ -203,7 +203,7 @@
             transport,
             shared,
             signals,
-            parts: Parts { viewers, streamers, bulletin, door, peers },
+            components: Components { viewers, streamers, discovery, admin, peers },
             agreed,
             file: config.file().map(Path::to_owned),
             name: config.name.clone(),
@@ -214,12 +214,12 @@
             figures,
             estate: config.shared_folder().map(|folder| estate::place(folder, &config.name)),
             inherited: false,
-            phase: Phase::Serving,
+            phase: ShutdownPhase::Serving,
             tracing: false,
         };
         config.known.items.iter().for_each(|notice| node.notice(notice, true));
-        node.parts.bulletin.look(&mut node.shared);
-        node.parts.streamers.begin(&mut node.shared);
+        node.components.discovery.look(&mut node.shared);
+        node.components.streamers.begin(&mut node.shared);
         Ok(node)
     }
 }
--- a/src/net/streamers/exchange.rs
+++ b/src/net/streamers/exchange.rs
@@ -1,6 +1,6 @@
 //! Bytes on the connections to streamers: reading, writing message by message, and how a connection ends.
-use super::super::line::Got;
-use super::super::part::Ready;
+use super::super::component::Ready;
+use super::super::connection::ReadOutcome;
 use super::super::poll::Token;
 use super::super::shared::Shared;
 use super::link::{Saying, Writing};
@@ -19,7 +19,7 @@
             if !writable {
                 return;
             }
-            if let Err(why) = link.line.outcome() {
+            if let Err(why) = link.line.connect_result() {
                 return self.never_up(shared, token, &why);
             }
             link.up = true;
@@ -51,7 +51,7 @@
 
     /// Whether something is still to be written on a connection that is up.
     pub fn writes(&self) -> bool {
-        self.links.values().any(|l| l.up && (l.line.unwritten() > 0 || !l.queue.is_empty()))
+        self.links.values().any(|l| l.up && (l.line.unwritten_len() > 0 || !l.queue.is_empty()))
     }
 
     /// A connection that can't be written to any more. What came on it before is still heard: an answer may
@@ -67,7 +67,7 @@
     pub(super) fn read(&mut self, shared: &mut Shared, token: Token) {
         let Some(link) = self.links.get_mut(&token) else { return };
         let got = link.line.read();
-        let (messages, bad) = link.line.take(rtsp::read);
+        let (messages, bad) = link.line.take_messages(rtsp::read);
         if !messages.is_empty() {
             link.heard_at = shared.now;
             if let Some(pool) = self.pools.get_mut(&link.streamer) {
@@ -83,8 +83,8 @@
             return self.down(shared, token);
         }
         match got {
-            Ok(Got::Bytes) => {}
-            Ok(Got::End) => self.down(shared, token),
+            Ok(ReadOutcome::Open) => {}
+            Ok(ReadOutcome::Eof) => self.down(shared, token),
             Err(why) => {
                 debug!(shared.log, "connection broke: {why}"; "streamer" => link.streamer.0);
                 link.cut = true;
@@ -113,7 +113,7 @@
                 // By a leave that ran out meanwhile nothing goes out.
                 Some(Saying::Word(_, Some(session))) if !shared.may_act(session) => {}
                 Some(Saying::Word(bytes, acts)) => {
-                    link.line.put(&bytes);
+                    link.line.queue(&bytes);
                     link.writing = Some(Writing::Word(bytes, acts));
                 }
                 // What is another's is not ended from here.
@@ -121,7 +121,7 @@
                     shared.inputs.push(Input::GaveUp(attempt));
                 }
                 Some(Saying::GiveUp(attempt)) => {
-                    link.line.put(&rtsp::give_up(attempt.session));
+                    link.line.queue(&rtsp::give_up(attempt.session));
                     link.writing = Some(Writing::GiveUp(attempt));
                 }
                 Some(Saying::SetUp { attempt, rung, until, send_by, parcel }) => {
@@ -131,7 +131,7 @@
                     let in_time = wait_ms > 0 && shared.now < send_by;
                     match bytes.filter(|_| up && in_time && shared.may_act(attempt.session)) {
                         Some(bytes) => {
-                            link.line.put(&bytes);
+                            link.line.queue(&bytes);
                             link.writing = Some(Writing::SetUp(attempt));
                             link.open.insert(attempt.session, (attempt.number, true));
                         }
--- a/src/net/streamers/link.rs
+++ b/src/net/streamers/link.rs
@@ -1,6 +1,6 @@
 //! One connection to a streamer: what is queued, written and open on it, and what its messages mean to the
 //! core.
-use super::super::line::Line;
+use super::super::connection::Connection;
 use super::super::shared::Shared;
 use crate::director::{Attempt, Input, Parcel, SessionEnd};
 use crate::interface::{Micros, Outcome, RequestId, StreamerId};
@@ -32,7 +32,7 @@
 /// One connection to a streamer.
 pub struct Link {
     pub streamer: StreamerId,
-    pub line: Line,
+    pub line: Connection,
     pub up: bool,
     pub queue: VecDeque<Saying>,
     /// What is being written, where that matters.
@@ -54,7 +54,7 @@
 impl Link {
     /// Takes a set-up back that is being written, if not a byte of it has left.
     pub fn take_back(&mut self, attempt: Attempt) -> bool {
-        let back = self.writing == Some(Writing::SetUp(attempt)) && self.line.take_back();
+        let back = self.writing == Some(Writing::SetUp(attempt)) && self.line.unqueue();
         if back {
             self.writing = None;
         }
@@ -93,7 +93,7 @@
                 Input::Noted { streamer, session, kind, value }
             }
             // Asked for only where sessions outlive their director.
-            FromStreamer::Over(session) if shared.leave.is_some() => Input::DropHeard(session),
+            FromStreamer::Over(session) if shared.ownership.is_some() => Input::DropHeard(session),
             FromStreamer::Noted(_, None, _) | FromStreamer::Over(_) | FromStreamer::Idle => return,
         };
         shared.inputs.push(input);
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -4,9 +4,9 @@
 mod link;
 mod ways;
 
-use super::part::{Part, Ready};
+use super::component::{Component, Ready};
 use super::poll::Token;
-use super::shared::{Due, Shared};
+use super::shared::{Deadline, Shared};
 use crate::director::{Attempt, Director, Input, SetUp, UnsentReason};
 use crate::interface::{Entry, ListScope, LoadReport, Micros, Outcome, RequestId, Standing, StreamerId};
 use crate::platform::rtsp;
@@ -75,7 +75,7 @@
 
     /// Begins to look after the connections.
     pub fn begin(&self, shared: &mut Shared) {
-        shared.wake(WATCH_US, Due::Watch);
+        shared.schedule(WATCH_US, Deadline::CheckStreamers);
     }
 
     /// Takes the list's news.
@@ -178,7 +178,7 @@
         if left && !link.take_back(attempt) {
             link.given_up.insert(session);
             link.queue.push_back(Saying::GiveUp(attempt));
-            shared.wake(GIVE_UP_US, Due::GiveUp(token, attempt));
+            shared.schedule(GIVE_UP_US, Deadline::Cancel(token, attempt));
             self.pump(shared, token);
         } else {
             link.queue.retain(|s| !matches!(s, Saying::SetUp { attempt: a, .. } if *a == attempt));
@@ -239,7 +239,7 @@
             link.tests.insert(id);
             link.queue.push_back(Saying::Word(rtsp::load_test(id), None));
             let dialing = if link.up { 0 } else { self.transport.dial_timeout_us };
-            shared.wake(self.transport.dial_timeout_us + dialing, Due::Probe(token, id));
+            shared.schedule(self.transport.dial_timeout_us + dialing, Deadline::Probe(token, id));
         }
         self.pump(shared, token);
     }
@@ -262,23 +262,23 @@
     }
 }
 
-impl Part for Streamers {
+impl Component for Streamers {
     fn owns(&self, token: Token) -> bool {
         self.links.contains_key(&token)
     }
 
-    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
         self.exchange(shared, ready);
     }
 
-    fn due(&mut self, shared: &mut Shared, director: &Director, due: Due) -> bool {
-        match due {
-            Due::Dial(token) => self.dial_due(shared, token),
-            Due::Probe(token, id) => self.probe_due(shared, token, id),
-            Due::GiveUp(token, attempt) => self.give_up_due(shared, token, attempt),
-            Due::Watch => {
+    fn on_deadline(&mut self, shared: &mut Shared, director: &Director, deadline: Deadline) -> bool {
+        match deadline {
+            Deadline::Connect(token) => self.dial_due(shared, token),
+            Deadline::Probe(token, id) => self.probe_due(shared, token, id),
+            Deadline::Cancel(token, attempt) => self.give_up_due(shared, token, attempt),
+            Deadline::CheckStreamers => {
                 self.watch(shared, |s| director.sessions_at(s));
-                shared.wake(WATCH_US, Due::Watch);
+                shared.schedule(WATCH_US, Deadline::CheckStreamers);
             }
             _ => return false,
         }
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -1,7 +1,7 @@
 //! The ways to streamers: which connection is used, when a new one is begun, and which streamer is lost.
-use super::super::line::Line;
+use super::super::connection::Connection;
 use super::super::poll::Token;
-use super::super::shared::{Due, Shared};
+use super::super::shared::{Deadline, Shared};
 use super::link::Link;
 use super::{
     GIVEN_UP_MOST, HEARD_US, LOST_US, Pool, QUEUE_MOST, REDIAL_US, REDIAL_WORDS_US, REFUSED_US, SILENT_US,
@@ -50,7 +50,7 @@
     pub(super) fn dial(&mut self, shared: &mut Shared, streamer: StreamerId) -> Result<Token, UnsentReason> {
         if self.links.len() >= self.most {
             let unused = |l: &&Link| {
-                let waits = !l.queue.is_empty() || l.line.unwritten() > 0;
+                let waits = !l.queue.is_empty() || l.line.unwritten_len() > 0;
                 l.up && l.open.is_empty() && l.tests.is_empty() && !waits
             };
             let oldest = self.links.values().filter(unused).min_by_key(|l| l.used_at);
@@ -60,7 +60,7 @@
         let pool = self.pools.get_mut(&streamer).ok_or(UnsentReason::Withdrawn)?;
         pool.dial_at = shared.now.saturating_add(REDIAL_US);
         pool.cut = false;
-        let line = match Line::dial(&mut shared.poll, pool.address.ok_or(UnsentReason::Withdrawn)?) {
+        let line = match Connection::connect(&mut shared.poll, pool.address.ok_or(UnsentReason::Withdrawn)?) {
             Ok(line) => line,
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => {
                 self.dial_failed(shared, streamer, shared.now, &why);
@@ -91,7 +91,7 @@
         };
         self.links.insert(token, link);
         shared.counters.streamer_connections += 1;
-        shared.wake(self.transport.dial_timeout_us, Due::Dial(token));
+        shared.schedule(self.transport.dial_timeout_us, Deadline::Connect(token));
         Ok(token)
     }
 
@@ -144,7 +144,7 @@
             l.up && l.open.is_empty()
                 && l.tests.is_empty()
                 && l.queue.is_empty()
-                && l.line.unwritten() == 0
+                && l.line.unwritten_len() == 0
                 && l.used_at.saturating_add(self.transport.idle_timeout_us / 5 * 4) <= now
                 && standing_at(l.streamer) == 0
         };
--- a/src/net/viewers/caller.rs
+++ b/src/net/viewers/caller.rs
@@ -1,6 +1,6 @@
 //! One connection from viewers: its buffers, what it brought so far, and which messages have not left it yet.
 use crate::interface::{Micros, RequestId};
-use crate::net::line::Line;
+use crate::net::connection::Connection;
 use std::collections::VecDeque;
 
 /// A connection has so long to bring its first bytes before it may make room for another.
@@ -85,7 +85,7 @@
 
 /// A connection from viewers.
 pub struct Caller {
-    pub line: Line,
+    pub line: Connection,
     pub since: Micros,
     pub heard_at: Micros,
     /// Since when its client, for whom too much waits, has read nothing; until it has read some nothing more
@@ -116,7 +116,7 @@
 
 impl Caller {
     /// A connection that was just taken.
-    pub fn new(line: Line, now: Micros) -> Self {
+    pub fn new(line: Connection, now: Micros) -> Self {
         Caller {
             line,
             since: now,
@@ -146,7 +146,7 @@
             self.heard_at = now;
             self.partial = None;
         }
-        if self.line.partial() {
+        if self.line.has_partial_message() {
             let since = self.partial.map_or(now, |partial| partial.since);
             self.partial = Some(Partial { since, at: now });
         }
@@ -174,7 +174,7 @@
             return false;
         }
         let read = self.answered || self.since.saturating_add(FIRST_US) <= now;
-        let reading = self.line.unwritten() > 0 && self.heard_at.saturating_add(IDLE_US) > now;
+        let reading = self.line.unwritten_len() > 0 && self.heard_at.saturating_add(IDLE_US) > now;
         read && !reading && !self.broken && self.heard_at < now
     }
 
@@ -199,8 +199,8 @@
         while self.unsent.front().is_some_and(|(end, _)| *end <= written) {
             self.unsent.pop_front();
         }
-        self.line.put(bytes);
-        let end = self.line.put_total();
+        self.line.queue(bytes);
+        let end = self.line.queued_total();
         self.unsent.extend(matters.map(|message| (end, message)));
     }
 
--- a/src/net/viewers/closing.rs
+++ b/src/net/viewers/closing.rs
@@ -5,9 +5,9 @@
 use super::caller::{CloseReason, Stage};
 use crate::director::{Director, ViewerLink};
 use crate::interface::Micros;
-use crate::net::part::Ready;
+use crate::net::component::Ready;
 use crate::net::poll::Token;
-use crate::net::shared::{Due, Shared};
+use crate::net::shared::{Deadline, Shared};
 use slog::{debug, warn};
 use std::io::ErrorKind;
 
@@ -71,14 +71,15 @@
                 continue;
             };
             let open =
-                director.requests_and_sessions_on(ViewerLink(token)).0 > 0 || caller.line.unwritten() > 0;
+                director.requests_and_sessions_on(ViewerLink(token)).0 > 0 || caller.line.unwritten_len() > 0;
             let within = |span: Micros| since.saturating_add(span) > shared.now;
             let partial = caller.takes_messages() && within(PARTIAL_US);
             let more = why == CloseReason::End && within(MORE_US);
-            if open || partial && caller.line.partial() || more && self.hears_more(shared, token) {
+            if open || partial && caller.line.has_partial_message() || more && self.hears_more(shared, token)
+            {
                 continue;
             }
-            let begun = self.callers.get(&token).is_some_and(|caller| caller.line.partial());
+            let begun = self.callers.get(&token).is_some_and(|caller| caller.line.has_partial_message());
             if !(partial && begun) {
                 self.finish(shared, token, why);
             }
@@ -91,11 +92,11 @@
         let Some(caller) = self.callers.get_mut(&token) else { return };
         debug!(shared.log, "this side of a connection from viewers is ended"; "connection" => token,
             "why" => ?why);
-        if caller.line.finish().is_err() {
+        if caller.line.shutdown_write().is_err() {
             return self.close(shared, token, why); // it has broken
         }
         let until = shared.now.saturating_add(LINGER_US);
         caller.stage = Stage::Finished { why, until };
-        shared.deadlines.set(until, Due::Viewer(token));
+        shared.deadlines.set(until, Deadline::ViewerConnection(token));
     }
 }
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -4,10 +4,10 @@
 mod closing;
 mod sends;
 
-use super::line::{Got, Line};
-use super::part::{Part, Ready};
-use super::poll::{Token, Watched};
-use super::shared::{Due, Heard, Shared};
+use super::component::{Component, Ready};
+use super::connection::{Connection, ReadOutcome};
+use super::poll::{Registered, Token};
+use super::shared::{Deadline, Event, Shared};
 use crate::director::{Director, ViewerLink};
 use crate::interface::Micros;
 use crate::platform::viewer::{self, FromViewer};
@@ -39,7 +39,7 @@
 /// Listener and connections of the viewers.
 pub struct Viewers {
     /// None once the grace period is over.
-    listener: Option<Watched<TcpListener>>,
+    listener: Option<Registered<TcpListener>>,
     callers: BTreeMap<Token, Caller>,
     most: usize,
     kept: VecDeque<(Micros, Vec<u8>)>,
@@ -53,7 +53,7 @@
     /// Takes connections from a listener; holds so many at most.
     pub fn on(shared: &mut Shared, listener: TcpListener, most: usize) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
-        let listener = shared.poll.watch(listener, false)?;
+        let listener = shared.poll.register(listener, false)?;
         Ok(Viewers {
             listener: Some(listener),
             callers: BTreeMap::new(),
@@ -95,7 +95,7 @@
     }
 
     fn welcome(&mut self, shared: &mut Shared, stream: TcpStream) {
-        let line = match Line::accepted(&mut shared.poll, stream) {
+        let line = match Connection::accepted(&mut shared.poll, stream) {
             Ok(line) => line,
             Err(why) => {
                 return warn!(shared.log, "a connection from viewers could not be set up: {why}");
@@ -104,7 +104,7 @@
         shared.counters.viewer_connections += 1;
         let token = line.token();
         self.callers.insert(token, Caller::new(line, shared.now));
-        shared.wake(SILENT_US, Due::Viewer(token));
+        shared.schedule(SILENT_US, Deadline::ViewerConnection(token));
     }
 
     /// Closes a connection on which no request waits, if it had its time to bring one: best one on which no
@@ -128,9 +128,9 @@
     /// Reads what has come on a connection that is about to be closed, and tells whether that was a message
     /// or its end: then it is not closed from here.
     fn hears_more(&mut self, shared: &mut Shared, token: Token) -> bool {
-        let heard = shared.heard.len();
+        let heard = shared.events.len();
         self.exchange(shared, Ready { token, readable: true, writable: false });
-        shared.heard.len() > heard
+        shared.events.len() > heard
     }
 
     fn shed(&mut self, shared: &mut Shared, token: Token, why: CloseReason) {
@@ -147,7 +147,7 @@
         let Some(caller) = self.callers.get(&token) else { return };
         match caller.stage {
             Stage::Open => {}
-            Stage::Closing { .. } => return shared.wake(LOOK_US, Due::Viewer(token)),
+            Stage::Closing { .. } => return shared.schedule(LOOK_US, Deadline::ViewerConnection(token)),
             Stage::Finished { why, until } if until <= shared.now => return self.close(shared, token, why),
             Stage::Finished { .. } => return,
         }
@@ -160,14 +160,14 @@
                 return self.finish(shared, token, CloseReason::Silent);
             }
         }
-        shared.wake(LOOK_US, Due::Viewer(token));
+        shared.schedule(LOOK_US, Deadline::ViewerConnection(token));
     }
 
     /// Without a pause the waiting connections would wake the loop again at once.
     fn pause(&mut self, shared: &mut Shared) {
-        let paused = self.listener.as_mut().is_some_and(|l| l.interest(false, false).is_ok());
+        let paused = self.listener.as_mut().is_some_and(|l| l.set_interest(false, false).is_ok());
         if paused {
-            shared.wake(ACCEPT_PAUSE_US, Due::Accept);
+            shared.schedule(ACCEPT_PAUSE_US, Deadline::ResumeAccept);
         }
     }
 
@@ -175,7 +175,7 @@
     pub fn shut(&mut self, shared: &Shared) {
         self.shut = true;
         let Some(listener) = &mut self.listener else { return };
-        if let Err(why) = listener.interest(false, false) {
+        if let Err(why) = listener.set_interest(false, false) {
             warn!(shared.log, "the listener is still watched: {why}");
         }
     }
@@ -196,13 +196,13 @@
         let quiet = |(token, c): (&Token, &Caller)| {
             let settled = c.answered || c.since.saturating_add(FIRST_US) <= shared.now;
             let (open, standing) = director.requests_and_sessions_on(ViewerLink(*token));
-            let quiet = c.stage == Stage::Open && settled && c.line.unwritten() == 0;
+            let quiet = c.stage == Stage::Open && settled && c.line.unwritten_len() == 0;
             (open == 0 && (all || standing == 0) && quiet).then_some(*token)
         };
         let quiet: Vec<Token> = self.callers.iter().filter_map(quiet).collect();
         for token in quiet {
             let more = self.hears_more(shared, token);
-            let partial = self.callers.get(&token).is_some_and(|c| c.line.partial());
+            let partial = self.callers.get(&token).is_some_and(|c| c.line.has_partial_message());
             if !more && !partial {
                 shared.counters.viewers_sent_away += 1;
                 self.finish(shared, token, CloseReason::Drain);
@@ -216,7 +216,7 @@
             return;
         }
         let Some(listener) = &mut self.listener else { return };
-        if let Err(why) = listener.interest(true, false) {
+        if let Err(why) = listener.set_interest(true, false) {
             warn!(shared.log, "the listener can't be watched: {why}");
         }
         self.accept(shared, director);
@@ -236,31 +236,33 @@
         let got = caller.line.read();
         caller.reset |= got.is_err();
         if !caller.takes_messages() {
-            caller.line.discard();
-            caller.broken |= !matches!(got, Ok(Got::Bytes));
+            caller.line.discard_read();
+            caller.broken |= !matches!(got, Ok(ReadOutcome::Open));
             if caller.broken {
-                shared.heard.push(Heard::Closed(token));
+                shared.events.push(Event::ViewerClosed(token));
             }
             return;
         }
-        let (whole, bad) = caller.line.take(viewer::read);
+        let (whole, bad) = caller.line.take_messages(viewer::read);
         caller.heard(shared.now, !whole.is_empty());
         let shown = !caller.viewer && whole.iter().any(|m| matches!(m, FromViewer::SetUp(_)));
         caller.viewer |= shown;
-        caller.broken |= !matches!(got, Ok(Got::Bytes));
+        caller.broken |= !matches!(got, Ok(ReadOutcome::Open));
         let broken = caller.broken;
         if let Some(why) = bad {
             shared.counters.malformed += 1;
             debug!(shared.log, "malformed message from viewers, connection closed: {why}");
-            caller.line.discard();
+            caller.line.discard_read();
             self.begin_close(shared, token, CloseReason::Malformed);
         }
         if let Err(why) = &got {
             debug!(shared.log, "a connection from viewers broke: {why}");
         }
-        shared.heard.extend(whole.into_iter().map(|message| Heard::Viewer(ViewerLink(token), message)));
+        shared
+            .events
+            .extend(whole.into_iter().map(|message| Event::ViewerMessage(ViewerLink(token), message)));
         if broken {
-            shared.heard.push(Heard::Closed(token));
+            shared.events.push(Event::ViewerClosed(token));
         } else if shown {
             self.deliver_kept(shared);
         }
@@ -272,12 +274,12 @@
     }
 }
 
-impl Part for Viewers {
+impl Component for Viewers {
     fn owns(&self, token: Token) -> bool {
         self.callers.contains_key(&token) || self.listens_on(token)
     }
 
-    fn ready(&mut self, shared: &mut Shared, director: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, director: &Director, ready: Ready) {
         if self.listens_on(ready.token) {
             self.accept(shared, director);
         } else {
@@ -285,10 +287,10 @@
         }
     }
 
-    fn due(&mut self, shared: &mut Shared, director: &Director, due: Due) -> bool {
-        match due {
-            Due::Viewer(token) => self.look(shared, token, director),
-            Due::Accept => self.resume(shared, director),
+    fn on_deadline(&mut self, shared: &mut Shared, director: &Director, deadline: Deadline) -> bool {
+        match deadline {
+            Deadline::ViewerConnection(token) => self.look(shared, token, director),
+            Deadline::ResumeAccept => self.resume(shared, director),
             _ => return false,
         }
         true
--- a/src/net/viewers/sends.rs
+++ b/src/net/viewers/sends.rs
@@ -4,7 +4,7 @@
 use super::caller::{Caller, CloseReason, Stall, Unsent};
 use crate::director::{Input, ViewerLink};
 use crate::interface::{Micros, RequestId};
-use crate::net::part::Ready;
+use crate::net::component::Ready;
 use crate::net::poll::Token;
 use crate::net::shared::Shared;
 use crate::platform::viewer;
@@ -91,7 +91,7 @@
     fn write_out(&mut self, shared: &mut Shared, token: Token) {
         let Some(caller) = self.callers.get_mut(&token) else { return };
         match caller.line.write() {
-            Ok(_) if caller.line.unwritten() <= UNWRITTEN_MOST => {}
+            Ok(_) if caller.line.unwritten_len() <= UNWRITTEN_MOST => {}
             Ok(_) => self.stall(shared, token),
             Err(why) => {
                 debug!(shared.log, "a connection from viewers broke: {why}");
@@ -108,17 +108,17 @@
         warn!(shared.log, "viewers do not read, nothing is taken from their connection";
             "connection" => token);
         caller.stalled = Some(Stall { since: shared.now, written: caller.line.written_total() });
-        if caller.line.watch_reads(false).is_err() {
+        if caller.line.set_read_interest(false).is_err() {
             self.broke(shared, token);
         }
     }
 
     /// Takes messages again from a client that has read what waited for it.
     pub(super) fn resume_reading(&mut self, shared: &mut Shared, token: Token) {
-        let read = |c: &Caller| c.stalled.is_some() && c.line.unwritten() <= UNWRITTEN_MOST;
+        let read = |c: &Caller| c.stalled.is_some() && c.line.unwritten_len() <= UNWRITTEN_MOST;
         let Some(caller) = self.callers.get_mut(&token).filter(|c| read(c)) else { return };
         caller.stalled = None;
-        if caller.line.watch_reads(true).is_err() {
+        if caller.line.set_read_interest(true).is_err() {
             self.broke(shared, token);
         }
     }
@@ -148,7 +148,7 @@
 
     /// Whether something is still to be written.
     pub fn writes(&self) -> bool {
-        self.callers.values().any(|c| !c.broken && c.line.unwritten() > 0)
+        self.callers.values().any(|c| !c.broken && c.line.unwritten_len() > 0)
     }
 
     /// Forgets a connection: requests that wait on it are over, and what had not left it whole is told to the
@@ -156,7 +156,7 @@
     pub(super) fn close(&mut self, shared: &mut Shared, token: Token, why: CloseReason) {
         let Some(caller) = self.callers.remove(&token) else { return };
         debug!(shared.log, "a connection from viewers is closed"; "connection" => token,
-            "why" => ?why, "unwritten" => caller.line.unwritten());
+            "why" => ?why, "unwritten" => caller.line.unwritten_len());
         shared.inputs.push(Input::LinkLost(ViewerLink(token)));
         let unread = caller.unread(shared.now);
         for unsent in caller.into_unsent() {
