--- a/src/cli/members.rs
+++ b/src/cli/members.rs
@@ -1,5 +1,5 @@
 //! `stonewharf fleet members`: asks a running director for its view and prints it. Blocks for 2 s at most.
-use crate::net::{NodeError, operator};
+use crate::net::{NodeError, read_operator_file};
 use comfy_table::{Table, presets};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -30,7 +30,7 @@
 /// The view of the director that an operator file is for, or of another of its cluster.
 pub fn ask(file: &Path, at: Option<SocketAddr>) -> Result<View, MembersError> {
     let off = || MembersError::Off(file.display().to_string());
-    let set = operator(file, None)?.fleet.filter(|set| set.enabled).ok_or_else(off)?;
+    let set = read_operator_file(file, None)?.fleet.filter(|set| set.enabled).ok_or_else(off)?;
     let own = set.listens_at().map_err(|_| off())?;
     let at = at.unwrap_or(SocketAddr::V4(own));
     let bytes = exchange(at, &stonewharf_fleet::ask(&set.cluster), PATIENCE)
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,7 +7,7 @@
 mod release;
 
 use crate::net::logging::{self, Format};
-use crate::net::{Node, NodeError, Signals, operator};
+use crate::net::{Node, NodeError, Signals, read_operator_file};
 use crate::platform::config::Config;
 use crate::settings::NameRegistry;
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
@@ -187,16 +187,16 @@
 
 fn serve(args: &Serve) -> ExitCode {
     // Before anything else: a signal that came earlier would end the process as if it had crashed.
-    let signals = Signals::take();
+    let signals = Signals::install();
     let (log, guard) = logging::to_stderr(args.log_level.into(), args.log_format);
     let served = config(args.files.config.as_deref()).and_then(|config| {
         let log = log.new(slog::o!("director" => config.name.clone()));
         let mut node = Node::with_signals(&config, args.files.operator.as_deref(), signals?, log)?;
-        node.trace(matches!(args.log_level, Level::Trace));
+        node.set_tracing(matches!(args.log_level, Level::Trace));
         node.run()
     });
     drop(log);
-    guard.finish();
+    guard.flush();
     told(served)
 }
 
@@ -210,9 +210,9 @@
         let seed = config.seed()?;
         crate::Controller::new(settings, seed, 0)?;
         out.push_str(&format!("# director {} listens on {}\n", config.name, config.listen));
-        files.operator.as_deref().map(|file| operator(file, Some(&names))).transpose()?
+        files.operator.as_deref().map(|file| read_operator_file(file, Some(&names))).transpose()?
     } else {
-        files.operator.as_deref().map(|file| operator(file, None)).transpose()?
+        files.operator.as_deref().map(|file| read_operator_file(file, None)).transpose()?
     };
     match own.map(|own| own.effective()).filter(|text| !text.is_empty()) {
         Some(text) => out.push_str(&text),
--- a/src/cli/orders.rs
+++ b/src/cli/orders.rs
@@ -2,7 +2,7 @@
 //! `stonewharf out`. Each goes to one running director, which carries it to whoever leads; one that nobody
 //! answered is sent again under the same number, so that it acts once.
 use super::members::exchange;
-use crate::net::{NodeError, Request, Told, operator};
+use crate::net::{NodeError, Request, Told, read_operator_file};
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use std::io::{self, Write};
@@ -177,7 +177,7 @@
     /// Sends an order until it is answered, or the time is over.
     fn ask(&self, request: &Request) -> Result<Told, OrderError> {
         let off = || OrderError::Off(self.operator.display().to_string());
-        let own = operator(&self.operator, None)?;
+        let own = read_operator_file(&self.operator, None)?;
         let set = own.fleet.filter(|set| set.enabled).ok_or_else(off)?;
         own.agreement.ok_or_else(off)?;
         // Whoever is asked may be the one that leaves: the seeds know as well.
--- a/src/cli/release.rs
+++ b/src/cli/release.rs
@@ -1,7 +1,7 @@
 //! `stonewharf release`: begins a release by a plan, shows it, halts it, takes it back, and gives a
 //! supervisor each director's step.
 use super::orders::{OrderError, To, now_ms};
-use crate::net::{digest, operator};
+use crate::net::{read_operator_file, settings_digest};
 use clap::Subcommand;
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
@@ -78,7 +78,7 @@
         "" => String::new(),
         path => {
             let path = file.parent().unwrap_or(Path::new("")).join(path);
-            format!("{:016x}", digest(&operator(&path, None)?))
+            format!("{:016x}", settings_digest(&read_operator_file(&path, None)?))
         }
     };
     let Written { name: title, version, waves, watch_s, .. } = written;
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -6,19 +6,19 @@
 /// before our own lie in its past.
 #[derive(Clone)]
 pub struct Clock {
-    unix_us: Micros,
-    began: Instant,
+    start_unix_us: Micros,
+    started: Instant,
 }
 
 impl Clock {
     /// Reads Unix time, this once.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_us: unix.as_micros() as Micros, began: Instant::now() }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { start_unix_us: since_epoch.as_micros() as Micros, started: Instant::now() }
     }
 
     /// Now, in microseconds of Unix time.
     pub fn now(&self) -> Micros {
-        self.unix_us.saturating_add(self.began.elapsed().as_micros() as Micros)
+        self.start_unix_us.saturating_add(self.started.elapsed().as_micros() as Micros)
     }
 }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -117,20 +117,20 @@
         &mut self,
         parse: impl Fn(&[u8]) -> Result<Option<(M, usize)>, E>,
     ) -> (Vec<M>, Option<E>) {
-        let (mut messages, mut at) = (Vec::new(), 0);
-        let bad = loop {
-            match parse(self.read_buffer.get(at..).unwrap_or_default()) {
+        let (mut messages, mut parsed) = (Vec::new(), 0);
+        let error = loop {
+            match parse(self.read_buffer.get(parsed..).unwrap_or_default()) {
                 Ok(Some((message, length))) => {
                     messages.push(message);
-                    at += length;
+                    parsed += length;
                 }
                 Ok(None) => break None,
                 Err(e) => break Some(e),
             }
         };
-        self.read_buffer.drain(..at.min(self.read_buffer.len()));
+        self.read_buffer.drain(..parsed.min(self.read_buffer.len()));
         release_excess_capacity(&mut self.read_buffer);
-        (messages, bad)
+        (messages, error)
     }
 
     /// Takes one whole message off what has been read, with `parse`; `None` where none is whole yet.
@@ -178,12 +178,12 @@
 
     /// Takes back what was added last, if not a byte of it has been written.
     pub fn unqueue(&mut self) -> bool {
-        let whole = !self.write_buffer.is_empty() && self.written == 0;
-        if whole {
+        let unsent = !self.write_buffer.is_empty() && self.written == 0;
+        if unsent {
             self.queued_total -= self.write_buffer.len() as u64;
             self.write_buffer.clear();
         }
-        whole
+        unsent
     }
 
     /// Sets whether it is watched for what comes. Its break is told all the same.
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -28,7 +28,7 @@
     Inherited(i32, io::Error),
     /// The machine refuses what the loop needs.
     #[error("the loop can't go on: {0}")]
-    Loop(#[from] io::Error),
+    Io(#[from] io::Error),
     /// The operator file is of no use.
     #[error("operator file {0}")]
     Operator(#[from] OperatorError),
@@ -49,5 +49,5 @@
     OtherDeployment(&'static str),
     /// The operator file can't be read.
     #[error("operator file {0}: {1}")]
-    OperatorUnread(String, io::Error),
+    OperatorUnreadable(String, io::Error),
 }
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -134,7 +134,7 @@
 
 impl Node {
     fn hand(&self) -> Option<SharedHand> {
-        self.agreed.as_ref()?.hands.as_ref().map(|hands| hands.hand.clone())
+        self.agreement.as_ref()?.hands.as_ref().map(|hands| hands.hand.clone())
     }
 
     /// A viewer's set-up came: what an heir would have to know of it.
@@ -188,7 +188,7 @@
 
     /// Sends what has to leave ahead of the core's deeds.
     pub(super) fn estate_words(&mut self) {
-        if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.components.peers) {
+        if let (Some(agreed), Some(peers)) = (&mut self.agreement, &mut self.components.peers) {
             agreed.say_of_estates(&mut self.shared, peers);
         }
     }
@@ -207,7 +207,7 @@
 
     /// Carries out what this director's part wants done.
     pub(super) fn estate_deeds(&mut self) {
-        let hands = self.agreed.as_mut().and_then(|agreed| agreed.hands.as_mut());
+        let hands = self.agreement.as_mut().and_then(|agreed| agreed.hands.as_mut());
         let deeds = hands.map(|hands| std::mem::take(&mut hands.deeds)).unwrap_or_default();
         for deed in deeds {
             match deed {
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -10,18 +10,18 @@
 
 /// The longest deadline that the grace period counts, and how long after it a platform may kill the process,
 /// both from its signal.
-const GRACE_DEADLINE_MOST_US: Micros = 3_000_000;
+const MAX_GRACE_DEADLINE_US: Micros = 3_000_000;
 const KILL_AFTER_DEADLINE_US: Micros = 700_000;
 /// How long before the earliest kill the process has left.
-const LEFT_BEFORE_KILL_US: Micros = 60_000;
+const EXIT_MARGIN_US: Micros = 60_000;
 /// How long clients have to end their connections after the grace period.
-const CLOSING_US: Micros = 150_000;
+const CLOSE_TIMEOUT_US: Micros = 150_000;
 /// How long the process stays after the grace period for clients that have not read their last answers. A
 /// platform that wants it gone sooner kills it.
-const LAST_WRITES_US: Micros = 1_000_000;
+const LAST_WRITES_TIMEOUT_US: Micros = 1_000_000;
 
 /// With the feature `planted` one in so many requests is read and dropped.
-const PLANTED_LOSS: u64 = 64;
+const PLANTED_LOSS_INTERVAL: u64 = 64;
 
 /// How far the process is on its way to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,24 +40,24 @@
 }
 
 /// How long requests are served after the signal was noticed, for the longest deadline of a deployment. The
-/// signal came up to [`signals::NOTICE`] before.
-pub(super) fn grace_us(longest_deadline_us: Micros) -> Micros {
-    let noticed_us = signals::NOTICE.as_micros() as Micros;
-    longest_deadline_us.min(GRACE_DEADLINE_MOST_US) + KILL_AFTER_DEADLINE_US
-        - (LEFT_BEFORE_KILL_US + CLOSING_US + noticed_us)
+/// signal came up to [`signals::MAX_SIGNAL_LATENCY`] before.
+pub(super) fn grace_period_us(longest_deadline_us: Micros) -> Micros {
+    let latency_us = signals::MAX_SIGNAL_LATENCY.as_micros() as Micros;
+    longest_deadline_us.min(MAX_GRACE_DEADLINE_US) + KILL_AFTER_DEADLINE_US
+        - (EXIT_MARGIN_US + CLOSE_TIMEOUT_US + latency_us)
 }
 
 impl Node {
     /// Answers a call at the operators' door.
-    pub(super) fn called(&mut self, token: Token, call: Call) {
+    pub(super) fn handle_admin_call(&mut self, token: Token, call: Call) {
         let (status, body) = match call {
-            Call::Ready if self.duty.accepts_clients() => (200, "takes clients\n".to_owned()),
+            Call::Ready if self.lifecycle.accepts_clients() => (200, "takes clients\n".to_owned()),
             Call::Ready => (503, "takes no clients\n".to_owned()),
-            Call::Vars => (200, self.vars()),
-            Call::LameDuck(on) => match self.duty.set_lame_duck(self.shared.now, on) {
+            Call::Vars => (200, self.render_metrics()),
+            Call::LameDuck(on) => match self.lifecycle.set_lame_duck(self.shared.now, on) {
                 Ok(()) => {
                     info!(self.shared.log, "{}", if on { "sends clients away" } else { "takes clients" });
-                    self.look_at_duty();
+                    self.schedule_lifecycle_poll();
                     (200, "done\n".to_owned())
                 }
                 Err(why) => (409, format!("{why}\n")),
@@ -69,70 +69,71 @@
     }
 
     /// The figures as they are now.
-    fn vars(&self) -> String {
-        let (listed, avoided) = self.director.streamer_counts();
-        self.figures.set_gauge("open_requests", self.director.open_requests());
-        self.figures.set_gauge("registry_entries", listed);
-        self.figures.set_gauge("out_of_rotation", avoided);
-        self.figures.render()
+    fn render_metrics(&self) -> String {
+        let (listed, out_of_rotation) = self.director.streamer_counts();
+        self.metrics.set_gauge("open_requests", self.director.open_requests());
+        self.metrics.set_gauge("registry_entries", listed);
+        self.metrics.set_gauge("out_of_rotation", out_of_rotation);
+        self.metrics.render()
     }
 
     /// Begins the end: what comes through the grace time is still answered.
-    pub(super) fn leave(&mut self) {
-        if !self.duty.stop(self.shared.now) {
+    pub(super) fn begin_shutdown(&mut self) {
+        if !self.lifecycle.stop(self.shared.now) {
             return;
         }
-        let at = self.duty.stop_deadline().unwrap_or(self.shared.now);
-        info!(self.shared.log, "asked to end"; "grace_ms" => at.saturating_sub(self.shared.now) / 1000);
+        let deadline = self.lifecycle.stop_deadline().unwrap_or(self.shared.now);
+        info!(self.shared.log, "asked to end"; "grace_ms" => deadline.saturating_sub(self.shared.now) / 1000);
         self.components.peers.iter_mut().for_each(|peers| peers.leaving(self.shared.now));
         self.estate_leaves();
-        self.shared.deadlines.set(at, Deadline::PhaseEnd);
-        if !self.duty.accepts_connections() {
+        self.shared.deadlines.set(deadline, Deadline::PhaseEnd);
+        if !self.lifecycle.accepts_connections() {
             self.components.viewers.shut(&self.shared);
         }
-        self.look_at_duty();
+        self.schedule_lifecycle_poll();
     }
 
     /// Takes over what the process before this one left, before the first of its sessions is handed over.
-    pub(super) fn inherit(&mut self) {
-        let Some(place) = self.estate.as_ref().filter(|_| !std::mem::replace(&mut self.inherited, true))
+    pub(super) fn load_handover(&mut self) {
+        let Some(place) =
+            self.handover_file.as_ref().filter(|_| !std::mem::replace(&mut self.handover_loaded, true))
         else {
             return;
         };
         match estate::take(place) {
-            Ok(left) => self.director.set_inherited_rungs(left),
+            Ok(rungs) => self.director.set_inherited_rungs(rungs),
             Err(why) => warn!(self.shared.log, "nothing is taken over: {why}"),
         }
     }
 
-    fn look_at_duty(&mut self) {
-        if let Some(after) = self.duty.poll_interval() {
+    fn schedule_lifecycle_poll(&mut self) {
+        if let Some(after) = self.lifecycle.poll_interval() {
             self.shared.schedule(after, Deadline::LifecyclePoll);
         }
     }
 
     /// Does what the duty asks about the viewers' connections, and looks again while it may change.
-    pub(super) fn send_away(&mut self) {
+    pub(super) fn poll_lifecycle(&mut self) {
         if self.phase != ShutdownPhase::Serving {
             return;
         }
-        let ClientActions { close, expire_pending } = self.duty.poll(self.shared.now);
+        let ClientActions { close, expire_pending } = self.lifecycle.poll(self.shared.now);
         if expire_pending {
             warn!(self.shared.log, "what is open is answered now, clients have to go");
             self.shared.inputs.push(Input::Hurry);
         }
         if close != CloseScope::None {
             self.components.viewers.send_away(&mut self.shared, &self.director, close == CloseScope::All);
-            self.take_in();
+            self.process_events();
         }
-        if self.duty.may_stop_early(self.components.viewers.held() + self.director.pending_requests()) {
-            return self.quit();
+        if self.lifecycle.may_stop_early(self.components.viewers.held() + self.director.pending_requests()) {
+            return self.end_phase();
         }
-        self.look_at_duty();
+        self.schedule_lifecycle_poll();
     }
 
     /// The grace period is over, or the time after it.
-    pub(super) fn quit(&mut self) {
+    pub(super) fn end_phase(&mut self) {
         self.phase = match self.phase {
             ShutdownPhase::Serving | ShutdownPhase::FinalTurn => ShutdownPhase::FinalTurn,
             ShutdownPhase::Closing { .. } | ShutdownPhase::Done => ShutdownPhase::Done,
@@ -141,65 +142,65 @@
 
     /// Hands a turn's inputs to the core. As the grace period ends, answers that came in the same turn still
     /// count, and requests are refused; so are those that come afterwards.
-    pub(super) fn decide(&mut self, mut inputs: Vec<Input>) -> Vec<Output> {
+    pub(super) fn run_core(&mut self, mut inputs: Vec<Input>) -> Vec<Output> {
         let now = self.shared.now;
         if cfg!(feature = "planted") {
-            let dropped = |id: RequestId| id.0.is_multiple_of(PLANTED_LOSS);
+            let dropped = |id: RequestId| id.0.is_multiple_of(PLANTED_LOSS_INTERVAL);
             inputs.retain(|input| !matches!(input, Input::Wanted { request, .. } if dropped(request.id)));
         }
         match self.phase {
             ShutdownPhase::Serving => self.director.turn(now, inputs),
             ShutdownPhase::FinalTurn => {
-                let (late, heard): (Vec<Input>, Vec<Input>) =
+                let (requests, others): (Vec<Input>, Vec<Input>) =
                     inputs.into_iter().partition(|input| matches!(input, Input::Wanted { .. }));
-                let mut deeds = self.director.turn(now, heard);
-                deeds.extend(self.director.turn_after_close(late, self.leaves_sessions()));
-                deeds
+                let mut outputs = self.director.turn(now, others);
+                outputs.extend(self.director.turn_after_close(requests, self.hands_over_sessions()));
+                outputs
             }
             ShutdownPhase::Closing { .. } | ShutdownPhase::Done => {
-                self.director.turn_after_close(inputs, self.leaves_sessions())
+                self.director.turn_after_close(inputs, self.hands_over_sessions())
             }
         }
     }
 
     /// Whether what stands is left to another process, and not released.
-    fn leaves_sessions(&self) -> bool {
-        self.duty.hands_over_sessions() || self.has_heirs()
+    fn hands_over_sessions(&self) -> bool {
+        self.lifecycle.hands_over_sessions() || self.has_heirs()
     }
 
     /// Goes on with the end as a turn is over: answers what is open, ends the connections, and leaves when
     /// none is left or the time is up.
-    pub(super) fn advance_end(&mut self) {
+    pub(super) fn advance_shutdown(&mut self) {
         if self.phase == ShutdownPhase::FinalTurn {
-            self.close();
+            self.close_sessions();
         }
         self.components.viewers.advance_closing(&mut self.shared, &self.director);
         let ShutdownPhase::Closing { since } = self.phase else { return };
-        let over = since.saturating_add(CLOSING_US) <= self.shared.now;
-        let left = self.components.viewers.held() == 0 && !self.components.streamers.writes();
-        if left || over && !self.components.viewers.writes() {
+        let timed_out = since.saturating_add(CLOSE_TIMEOUT_US) <= self.shared.now;
+        let finished = self.components.viewers.held() == 0 && !self.components.streamers.writes();
+        if finished || timed_out && !self.components.viewers.writes() {
             self.phase = ShutdownPhase::Done;
         }
     }
 
     /// The core closes all that is open. The process stays while answers and releases are not yet written and
     /// connections not yet ended, for a bounded time.
-    fn close(&mut self) {
+    fn close_sessions(&mut self) {
         self.phase = ShutdownPhase::Closing { since: self.shared.now };
-        if let Some(place) = &self.estate
+        if let Some(place) = &self.handover_file
             && let Err(why) = estate::leave(place, &self.director.sessions_to_hand_over())
         {
             warn!(self.shared.log, "nothing is left to the next process: {why}");
         }
-        let deeds = self.director.close(self.leaves_sessions());
-        deeds.into_iter().for_each(|deed| self.carry_out(deed));
+        let outputs = self.director.close(self.hands_over_sessions());
+        outputs.into_iter().for_each(|output| self.execute(output));
         self.components.streamers.flush(&mut self.shared);
         self.components.peers.iter_mut().for_each(|peers| peers.leave(&mut self.shared));
         self.components.viewers.close_all(&self.shared);
         if self.components.viewers.writes() || self.components.streamers.writes() {
             info!(self.shared.log, "waits for its last messages to be written");
         }
-        self.shared.schedule(CLOSING_US, Deadline::Closing);
-        self.shared.schedule(LAST_WRITES_US, Deadline::PhaseEnd);
+        self.shared.schedule(CLOSE_TIMEOUT_US, Deadline::Closing);
+        self.shared.schedule(LAST_WRITES_TIMEOUT_US, Deadline::PhaseEnd);
     }
 }
--- a/src/net/logging.rs
+++ b/src/net/logging.rs
@@ -6,12 +6,12 @@
 use std::thread;
 use std::time::Duration;
 
-const QUEUE: usize = 1024;
+const QUEUE_LINES: usize = 1024;
 /// How long the last lines may take at the end.
-const LAST_LINES: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Keeps the log's thread; see [`Guard::finish`].
-pub struct Guard(slog_async::AsyncGuard);
+/// Keeps the log's thread; see [`LogGuard::flush`].
+pub struct LogGuard(slog_async::AsyncGuard);
 
 /// How a line is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
@@ -24,41 +24,41 @@
 }
 
 /// A logger for lines from a level on.
-pub fn to_stderr(level: Level, format: Format) -> (Logger, Guard) {
+pub fn to_stderr(level: Level, format: Format) -> (Logger, LogGuard) {
     match format {
         Format::Text => {
             let decorator = slog_term::PlainDecorator::new(io::stderr());
-            queued(slog_term::FullFormat::new(decorator).use_utc_timestamp().build(), level)
+            async_logger(slog_term::FullFormat::new(decorator).use_utc_timestamp().build(), level)
         }
         Format::Json => {
             let lines = slog_json::Json::new(io::stderr()).add_default_keys().set_flush(true).build();
-            queued(std::sync::Mutex::new(lines).ignore_res(), level)
+            async_logger(std::sync::Mutex::new(lines).ignore_res(), level)
         }
     }
 }
 
-fn queued<D>(lines: D, level: Level) -> (Logger, Guard)
+fn async_logger<D>(lines: D, level: Level) -> (Logger, LogGuard)
 where
     D: Drain + Send + 'static,
     D::Err: std::fmt::Debug,
 {
     let (queued, guard) = slog_async::Async::new(lines.ignore_res())
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
-    (Logger::root(queued.filter_level(level).ignore_res(), o!()), Guard(guard))
+    (Logger::root(queued.filter_level(level).ignore_res(), o!()), LogGuard(guard))
 }
 
-impl Guard {
+impl LogGuard {
     /// Waits until the last lines are out, but not for long.
-    pub fn finish(self) {
+    pub fn flush(self) {
         let (done, finished) = mpsc::channel();
         let spawned = thread::Builder::new().spawn(move || {
             drop(self.0);
             let _ = done.send(());
         });
         if spawned.is_ok() {
-            let _ = finished.recv_timeout(LAST_LINES);
+            let _ = finished.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -13,18 +13,18 @@
 use stonewharf_rollout::SharedDrains;
 
 /// Times the longest deadline that a viewer's own may be, so that none is kept for ever.
-const WAIT_MOST: u64 = 10;
+const MAX_DEADLINE_FACTOR: u64 = 10;
 /// A streamer that started no longer ago, as the list says, runs nothing of what was out there before.
-const LATELY_MS: u64 = 5_000;
+const RECENT_START_MS: u64 = 5_000;
 
 impl Node {
-    pub(super) fn heard_viewer(&mut self, link: ViewerLink, message: FromViewer) {
+    pub(super) fn handle_viewer_message(&mut self, link: ViewerLink, message: FromViewer) {
         self.components.peers.iter_mut().for_each(|peers| peers.serves(self.shared.now));
         match message {
-            FromViewer::SetUp(set_up) => self.wanted(link, *set_up),
+            FromViewer::SetUp(set_up) => self.handle_set_up(link, *set_up),
             FromViewer::Left(id) => self.shared.inputs.push(Input::ViewerLeft(link, id)),
             FromViewer::Test(id) => {
-                let result = viewer::test_result(id, self.duty.accepts_clients());
+                let result = viewer::test_result(id, self.lifecycle.accepts_clients());
                 self.components.viewers.say(&mut self.shared, link, &result);
             }
             FromViewer::Unusable(id, why) => {
@@ -35,13 +35,14 @@
         }
     }
 
-    fn wanted(&mut self, link: ViewerLink, set_up: SetUp) {
+    fn handle_set_up(&mut self, link: ViewerLink, set_up: SetUp) {
         let id = RequestId(set_up.session);
         let class = self.names.class(&set_up.class);
-        let usual = class.ok().and_then(|c| self.transport.default_deadlines_us.get(c.0)).copied();
-        let most = self.transport.longest_deadline_us().saturating_mul(WAIT_MOST);
-        let wait_us = set_up.wait_ms.map(|ms| ms.saturating_mul(1000)).or(usual).unwrap_or(0).min(most);
-        let wanted = NamedRequest {
+        let default_us = class.ok().and_then(|c| self.transport.default_deadlines_us.get(c.0)).copied();
+        let max_us = self.transport.longest_deadline_us().saturating_mul(MAX_DEADLINE_FACTOR);
+        let wait_us =
+            set_up.wait_ms.map(|ms| ms.saturating_mul(1000)).or(default_us).unwrap_or(0).min(max_us);
+        let named_request = NamedRequest {
             id: set_up.session,
             class: &set_up.class,
             tenant: None,
@@ -53,24 +54,25 @@
             left_us: wait_us,
             returned: set_up.again || set_up.retry,
         };
-        let request = match self.names.check_ranges(&wanted).and_then(|()| self.names.request(&wanted)) {
-            Ok(request) => request,
-            Err(why) => {
-                debug!(self.shared.log, "a set-up can't be used: {why}");
-                return self.shared.inputs.push(Input::Unusable(link, id));
-            }
-        };
+        let request =
+            match self.names.check_ranges(&named_request).and_then(|()| self.names.request(&named_request)) {
+                Ok(request) => request,
+                Err(why) => {
+                    debug!(self.shared.log, "a set-up can't be used: {why}");
+                    return self.shared.inputs.push(Input::Unusable(link, id));
+                }
+            };
         if set_up.at.is_some() {
-            self.inherit();
+            self.load_handover();
         } else {
-            let top = set_up.top.and_then(|top| u32::try_from(top).ok());
+            let max_rung = set_up.top.and_then(|top| u32::try_from(top).ok());
             self.estate_wanted(set_up.session, || Stub {
                 class: set_up.class.clone(),
                 title: set_up.title.clone(),
                 viewer: set_up.viewer.clone(),
                 home: set_up.home,
                 copies: set_up.copies,
-                top,
+                top: max_rung,
             });
         }
         self.shared.inputs.push(match &set_up.at {
@@ -86,7 +88,7 @@
         });
     }
 
-    pub(super) fn notice(&mut self, notice: &Notice, known: bool) {
+    pub(super) fn handle_notice(&mut self, notice: &Notice, known: bool) {
         let Some(roster) = &notice.roster else { return };
         let Members { mut entries, errors } = roster.members(&mut self.names);
         for why in errors {
@@ -97,13 +99,14 @@
             ListScope::Full if known => ListScope::Cached,
             scope => scope,
         };
-        if let Some(agreed) = &self.agreed {
-            self.listed(&agreed.drains, scope, &mut entries);
+        if let Some(agreement) = &self.agreement {
+            self.apply_drains(&agreement.drains, scope, &mut entries);
         }
-        if self.agreed.is_some() {
-            let lately = (self.shared.now / 1_000).saturating_sub(LATELY_MS) * 1_000;
-            let anew = |e: &Entry| e.standing == Standing::Gone || e.started_at.is_some_and(|at| at > lately);
-            let listed: Vec<_> = entries.iter().map(|(e, _)| (e.streamer, anew(e))).collect();
+        if self.agreement.is_some() {
+            let recent_us = (self.shared.now / 1_000).saturating_sub(RECENT_START_MS) * 1_000;
+            let restarted =
+                |e: &Entry| e.standing == Standing::Gone || e.started_at.is_some_and(|at| at > recent_us);
+            let listed: Vec<_> = entries.iter().map(|(e, _)| (e.streamer, restarted(e))).collect();
             self.estate_listed(self.shared.now, &listed);
         }
         self.components.streamers.list(&mut self.shared, scope, &entries);
@@ -115,7 +118,7 @@
     }
 
     /// Lets the agreed drains see the list's news first: they may only narrow it.
-    fn listed(&self, drains: &SharedDrains, scope: ListScope, entries: &mut [(Entry, SocketAddr)]) {
+    fn apply_drains(&self, drains: &SharedDrains, scope: ListScope, entries: &mut [(Entry, SocketAddr)]) {
         let name = |e: &Entry| {
             let name = self.names.streamers.resolve(e.streamer.0).unwrap_or_default().to_owned();
             (name, self.names.zone_name(e.zone).unwrap_or_default().to_owned())
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -37,10 +37,10 @@
 pub use error::NodeError;
 use lifecycle::ShutdownPhase;
 use shared::{Deadline, Event, Shared};
-use signals::Asked;
+use signals::SignalRequest;
 pub use signals::Signals;
 use slog::{info, trace};
-pub use startup::{digest, operator};
+pub use startup::{read_operator_file, settings_digest};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
 use stonewharf_halls::SharedHalls;
 
 /// Rounds of core and transport in one turn; what is left then is taken up in the next.
-const ROUNDS: usize = 16;
+const MAX_ROUNDS_PER_TURN: usize = 16;
 
 /// One director on its sockets.
 pub struct Node {
@@ -60,20 +60,20 @@
     signals: Signals,
     components: Components,
     /// What the fleet agrees on, where it does.
-    agreed: Option<Agreed>,
+    agreement: Option<Agreed>,
     /// The configuration's file, where it came from one, and what is in force of it.
-    file: Option<PathBuf>,
+    config_file: Option<PathBuf>,
     name: String,
-    info: RawSettings,
+    raw_settings: RawSettings,
     /// The operator file and what it set, where one is used.
     operator: Option<(PathBuf, SharedHalls)>,
-    told_to_end: bool,
-    duty: Lifecycle,
-    figures: MetricsRegistry,
+    stop_requested: bool,
+    lifecycle: Lifecycle,
+    metrics: MetricsRegistry,
     /// Where processes of this director leave what stands to the next one, where the platform replaces them.
-    estate: Option<PathBuf>,
+    handover_file: Option<PathBuf>,
     /// What the one before left has been taken over.
-    inherited: bool,
+    handover_loaded: bool,
     phase: ShutdownPhase,
     /// Whether every input and deed is logged, at the level `trace`.
     tracing: bool,
@@ -81,7 +81,7 @@
 
 impl Node {
     /// Where it listens.
-    pub fn address(&self) -> io::Result<SocketAddr> {
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.components.viewers.address()
     }
 
@@ -92,13 +92,13 @@
 
     /// Logs every input to the core and every deed out of it, but the list's news and the core's own timers.
     /// Costs a line for each: for following one request by its id, not for a long day.
-    pub fn trace(&mut self, on: bool) {
+    pub fn set_tracing(&mut self, on: bool) {
         self.tracing = on;
     }
 
     /// Serves until SIGTERM and the grace time after it.
     pub fn run(&mut self) -> Result<(), NodeError> {
-        info!(self.shared.log, "serves"; "at" => %self.address()?);
+        info!(self.shared.log, "serves"; "at" => %self.local_addr()?);
         while self.phase != ShutdownPhase::Done {
             self.turn(None)?;
         }
@@ -107,19 +107,22 @@
     }
 
     /// One turn of the loop; waits for something to do, at most as long as said.
-    pub fn turn(&mut self, most: Option<Duration>) -> Result<(), NodeError> {
+    pub fn turn(&mut self, max_wait: Option<Duration>) -> Result<(), NodeError> {
         let next = self.shared.deadlines.next_due();
-        let until = next.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
-        let heard = !self.shared.inputs.is_empty() || !self.shared.events.is_empty();
-        let left_over = heard.then_some(Duration::ZERO);
-        let wait = [most, until, left_over, Some(signals::NOTICE)].into_iter().flatten().min();
+        let until_deadline = next.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
+        let pending = !self.shared.inputs.is_empty() || !self.shared.events.is_empty();
+        let until_events = pending.then_some(Duration::ZERO);
+        let wait = [max_wait, until_deadline, until_events, Some(signals::MAX_SIGNAL_LATENCY)]
+            .into_iter()
+            .flatten()
+            .min();
         let ready = self.shared.poll.wait(wait)?;
         self.shared.now = self.clock.now();
-        let asked: Vec<Asked> = self.signals.asked().collect();
-        asked.into_iter().for_each(|asked| self.asked(asked));
+        let requests: Vec<SignalRequest> = self.signals.take_pending().collect();
+        requests.into_iter().for_each(|request| self.handle_signal(request));
         for (token, readable, writable) in ready {
             self.components.on_ready(&mut self.shared, &self.director, Ready { token, readable, writable });
-            self.take_in();
+            self.process_events();
         }
         while let Some(deadline) = self.shared.deadlines.pop_due(self.shared.now) {
             self.on_deadline(deadline);
@@ -127,8 +130,8 @@
         if self.phase == ShutdownPhase::FinalTurn {
             self.components.viewers.read_all(&mut self.shared);
         }
-        for _ in 0..ROUNDS {
-            self.take_in();
+        for _ in 0..MAX_ROUNDS_PER_TURN {
+            self.process_events();
             if self.shared.inputs.is_empty() {
                 self.components.streamers.flush(&mut self.shared);
             }
@@ -137,74 +140,75 @@
             }
             let mut inputs = std::mem::take(&mut self.shared.inputs);
             self.estate_inputs(&mut inputs);
-            for input in inputs.iter().filter(|_| self.tracing).filter_map(trace::input) {
+            for input in inputs.iter().filter(|_| self.tracing).filter_map(trace::describe_input) {
                 trace!(self.shared.log, "in"; "input" => input);
             }
             self.log_lost_requests(&inputs);
-            let deeds = self.decide(inputs);
-            for deed in deeds.iter().filter(|_| self.tracing).filter_map(trace::deed) {
-                trace!(self.shared.log, "out"; "deed" => deed);
+            let outputs = self.run_core(inputs);
+            for output in outputs.iter().filter(|_| self.tracing).filter_map(trace::describe_output) {
+                trace!(self.shared.log, "out"; "deed" => output);
             }
             self.estate_words();
-            deeds.into_iter().for_each(|deed| self.carry_out(deed));
+            outputs.into_iter().for_each(|output| self.execute(output));
         }
         self.components.streamers.flush(&mut self.shared);
         self.components.on_turn_end(&mut self.shared);
-        if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.components.peers)
-            && agreed.turned(&mut self.shared, peers).is_some()
+        if let (Some(agreement), Some(peers)) = (&mut self.agreement, &mut self.components.peers)
+            && agreement.turned(&mut self.shared, peers).is_some()
         {
-            self.leave();
+            self.begin_shutdown();
         }
         self.estate_deeds();
-        self.advance_end();
+        self.advance_shutdown();
         Ok(())
     }
 
     /// Takes in what the parts have heard.
-    fn take_in(&mut self) {
-        for heard in std::mem::take(&mut self.shared.events) {
-            match heard {
-                Event::ViewerMessage(link, message) => self.heard_viewer(link, message),
+    fn process_events(&mut self) {
+        for event in std::mem::take(&mut self.shared.events) {
+            match event {
+                Event::ViewerMessage(link, message) => self.handle_viewer_message(link, message),
                 Event::ViewerClosed(token) => self.components.viewers.ended(&mut self.shared, token),
-                Event::Discovery(notice) => self.notice(&notice, false),
-                Event::AdminCall(token, call) => self.called(token, call),
+                Event::Discovery(notice) => self.handle_notice(&notice, false),
+                Event::AdminCall(token, call) => self.handle_admin_call(token, call),
             }
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
-        match asked {
-            Asked::Counters => {
+    fn handle_signal(&mut self, request: SignalRequest) {
+        match request {
+            SignalRequest::LogCounters => {
                 info!(self.shared.log, "counters"; "counters" => %self.counters());
             }
-            Asked::End => self.end(),
-            Asked::Reload => self.reload(),
+            SignalRequest::Stop => self.request_stop(),
+            SignalRequest::Reload => self.reload(),
         }
     }
 
     /// It was told to end: at once, or when it has a permit, where the fleet agrees on those. Told a second
     /// time it waits for none.
-    fn end(&mut self) {
-        let waits = self.agreed.as_mut().is_some_and(|agreed| agreed.told_to_end(&self.shared));
-        if waits && !std::mem::replace(&mut self.told_to_end, true) {
+    fn request_stop(&mut self) {
+        let waits_for_permit =
+            self.agreement.as_mut().is_some_and(|agreement| agreement.told_to_end(&self.shared));
+        if waits_for_permit && !std::mem::replace(&mut self.stop_requested, true) {
             return info!(self.shared.log, "asked to end, asks for a permit"; "at_us" => self.shared.now);
         }
-        self.leave();
+        self.begin_shutdown();
     }
 
     fn on_deadline(&mut self, deadline: Deadline) {
         match deadline {
             Deadline::Agreement | Deadline::Closing => {} // looked at as the turn ends
             Deadline::Core(due) => self.shared.inputs.push(Input::Due(due)),
-            Deadline::LifecyclePoll => self.send_away(),
-            Deadline::PhaseEnd => self.quit(),
+            Deadline::LifecyclePoll => self.poll_lifecycle(),
+            Deadline::PhaseEnd => self.end_phase(),
             deadline => self.components.on_deadline(&mut self.shared, &self.director, deadline),
         }
     }
 
-    fn carry_out(&mut self, deed: Output) {
+    fn execute(&mut self, output: Output) {
         let shared = &mut self.shared;
-        match deed {
+        match output {
             Output::Answer(link, id, description) => match viewer::answer(id, &description) {
                 Some(bytes) => self.components.viewers.stands(shared, link, id, &bytes),
                 None => {
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -58,8 +58,8 @@
 /// Takes over a listening socket that the platform opened and hands down by number; once in a process, since
 /// two owners would close it twice. An error where it is none.
 pub fn inherit_listener(fd: RawFd) -> io::Result<TcpListener> {
-    static TAKEN: AtomicBool = AtomicBool::new(false);
-    if fd <= 2 || TAKEN.swap(true, Ordering::AcqRel) {
+    static INHERITED: AtomicBool = AtomicBool::new(false);
+    if fd <= 2 || INHERITED.swap(true, Ordering::AcqRel) {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "it can't be taken over"));
     }
     // SAFETY: the platform leaves this descriptor to the process for good, nothing else here knows its number
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -4,7 +4,7 @@
 //! Why flags and no descriptor: the platforms we run on may refuse Unix sockets (a socket pair was used here
 //! before) and give no promise on pipes or event descriptors, while a flag set by a handler needs nothing of
 //! the machine. A signal interrupts the wait where the machine allows that; where it does not, the loop waits
-//! at most [`NOTICE`] and sees the flag then.
+//! at most [`MAX_SIGNAL_LATENCY`] and sees the flag then.
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1, SIGXFSZ};
 use std::io;
 use std::sync::Arc;
@@ -12,30 +12,33 @@
 use std::time::Duration;
 
 /// The longest time from a signal to the loop acting on it: the loop never waits longer than this.
-pub const NOTICE: Duration = Duration::from_millis(25);
+pub const MAX_SIGNAL_LATENCY: Duration = Duration::from_millis(25);
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum SignalRequest {
     /// Come to an end in good order (SIGTERM, SIGINT).
-    End,
+    Stop,
     /// Read the configuration again (SIGHUP).
     Reload,
     /// Print the counters (SIGUSR1).
-    Counters,
+    LogCounters,
 }
 
 /// The signals that the program handles, each with the flag its handler sets.
 pub struct Signals {
-    flags: Vec<(Arc<AtomicBool>, Asked)>,
+    flags: Vec<(Arc<AtomicBool>, SignalRequest)>,
 }
 
 impl Signals {
     /// Takes the signals over. SIGTERM and SIGINT share one flag.
-    pub fn take() -> io::Result<Self> {
-        let (end, reload, counters) = Default::default();
-        let flags: Vec<(Arc<AtomicBool>, Asked)> =
-            vec![(end, Asked::End), (reload, Asked::Reload), (counters, Asked::Counters)];
+    pub fn install() -> io::Result<Self> {
+        let (stop, reload, counters) = Default::default();
+        let flags: Vec<(Arc<AtomicBool>, SignalRequest)> = vec![
+            (stop, SignalRequest::Stop),
+            (reload, SignalRequest::Reload),
+            (counters, SignalRequest::LogCounters),
+        ];
         let signals = [(SIGTERM, 0), (SIGINT, 0), (SIGHUP, 1), (SIGUSR1, 2)];
         for (signal, flag) in signals {
             signal_hook::flag::register(signal, Arc::clone(&flags[flag].0))?;
@@ -45,13 +48,13 @@
 
     /// A file that can't grow is an error of the write that met it, not the end of the process. Taken only
     /// where a folder is in use.
-    pub fn bear_full_files() -> io::Result<()> {
+    pub fn handle_file_size_limit() -> io::Result<()> {
         signal_hook::flag::register(SIGXFSZ, Arc::default()).map(|_| ())
     }
 
     /// What was asked since the last call, each kind once, in the order End, Reload, Counters.
-    pub fn asked(&self) -> impl Iterator<Item = Asked> + '_ {
-        self.flags.iter().filter(|(flag, _)| flag.swap(false, Ordering::AcqRel)).map(|(_, asked)| *asked)
+    pub fn take_pending(&self) -> impl Iterator<Item = SignalRequest> + '_ {
+        self.flags.iter().filter(|(flag, _)| flag.swap(false, Ordering::AcqRel)).map(|(_, request)| *request)
     }
 }
 
@@ -60,11 +63,11 @@
     use super::*;
 
     #[test]
-    fn a_raised_signal_is_asked_once() {
-        let signals = Signals::take().expect("handlers");
-        assert_eq!(signals.asked().count(), 0);
+    fn a_raised_signal_is_reported_once() {
+        let signals = Signals::install().expect("handlers");
+        assert_eq!(signals.take_pending().count(), 0);
         signal_hook::low_level::raise(SIGUSR1).expect("raise");
-        assert_eq!(signals.asked().collect::<Vec<_>>(), vec![Asked::Counters]);
-        assert_eq!(signals.asked().count(), 0);
+        assert_eq!(signals.take_pending().collect::<Vec<_>>(), vec![SignalRequest::LogCounters]);
+        assert_eq!(signals.take_pending().count(), 0);
     }
 }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -7,7 +7,7 @@
 use super::door::{self, Door};
 use super::error::NodeError;
 use super::hand::Hands;
-use super::lifecycle::{ShutdownPhase, grace_us};
+use super::lifecycle::{ShutdownPhase, grace_period_us};
 use super::peers::{self, Peers};
 use super::poll::{self, Poll};
 use super::shared::Shared;
@@ -28,19 +28,19 @@
 use stonewharf_rollout::{Drains, SharedDrains};
 
 /// Descriptors that are neither viewers' nor streamers': standard streams, poller, timer, bulletin, spare.
-const OWN_DESCRIPTORS: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 
 /// Reads the operator file; with the names of a deployment, for that one.
-pub fn operator(file: &Path, names: Option<&NameRegistry>) -> Result<Operator, NodeError> {
+pub fn read_operator_file(file: &Path, names: Option<&NameRegistry>) -> Result<Operator, NodeError> {
     let name = file.display().to_string();
-    let bytes = std::fs::read(file).map_err(|why| NodeError::OperatorUnread(name.clone(), why))?;
+    let bytes = std::fs::read(file).map_err(|why| NodeError::OperatorUnreadable(name.clone(), why))?;
     let known = names.map(|n| Known { classes: n.classes().to_vec(), halls: n.zones().to_vec() });
     let known = known.unwrap_or_default();
     Ok(Operator::parse_for(&name, &String::from_utf8_lossy(&bytes), &known)?)
 }
 
 /// Digest of the operator file's settings in force, but for what belongs to one machine.
-pub fn digest(operator: &Operator) -> u64 {
+pub fn settings_digest(operator: &Operator) -> u64 {
     let fleet = operator.fleet.as_ref();
     let shared =
         fleet.map(|f| FleetSettings { cluster: f.cluster.clone(), names: f.names.clone(), ..<_>::default() });
@@ -49,42 +49,42 @@
 }
 
 /// The fleet as one director begins with it, where its block is there and on.
-fn fleet_of(
-    set: &FleetSettings,
+fn create_fleet(
+    settings: &FleetSettings,
     config: &Config,
     hall: &str,
     digest: u64,
     now: Micros,
 ) -> Result<Fleet, NodeError> {
-    let folder = (!set.folder.is_empty()).then(|| Path::new(&set.folder));
+    let folder = (!settings.folder.is_empty()).then(|| Path::new(&settings.folder));
     if folder.is_some() {
-        Signals::bear_full_files()?;
+        Signals::handle_file_size_limit()?;
     }
     let incarnation = lives::next(folder, now).map_err(|why| {
-        NodeError::Fleet(format!("folder {:?} can't keep this life's number: {why}", set.folder))
+        NodeError::Fleet(format!("folder {:?} can't keep this life's number: {why}", settings.folder))
     })?;
-    let name = if set.name.is_empty() { config.name.clone() } else { set.name.clone() };
+    let name = if settings.name.is_empty() { config.name.clone() } else { settings.name.clone() };
     let me =
         Me { name, incarnation, hall: hall.to_owned(), version: env!("CARGO_PKG_VERSION").into(), digest };
-    Fleet::new(set, me, config.seed()?, now).map_err(|why| NodeError::Fleet(why.to_string()))
+    Fleet::new(settings, me, config.seed()?, now).map_err(|why| NodeError::Fleet(why.to_string()))
 }
 
 /// This director's part in sessions that outlive their director, where that is on.
-fn lasting(
+fn create_hand(
     settings: &Settings,
     names: &NameRegistry,
     fleet: Option<&Fleet>,
-    set: Option<ContinuitySettings>,
+    continuity: Option<ContinuitySettings>,
     now: Micros,
 ) -> Option<SharedHand> {
-    let life = fleet?.me();
-    let (name, hall) = (life.name.to_string(), life.hall.to_string());
-    let me = stonewharf_continuity::Me { name, hall, incarnation: life.incarnation };
-    Some(SharedHand::new(Hand::new(set?, settings, names.classes(), me, now)))
+    let member = fleet?.me();
+    let (name, hall) = (member.name.to_string(), member.hall.to_string());
+    let me = stonewharf_continuity::Me { name, hall, incarnation: member.incarnation };
+    Some(SharedHand::new(Hand::new(continuity?, settings, names.classes(), me, now)))
 }
 
 /// The settings of the halls; a block that is absent is off, and may come by a reload.
-pub(super) fn halls_of(operator: Operator) -> HallSettings {
+pub(super) fn hall_settings(operator: Operator) -> HallSettings {
     operator.halls.unwrap_or(HallSettings { enabled: false, ..HallSettings::default() })
 }
 
@@ -96,7 +96,7 @@
 
     /// A director as configured, with the operator file that sets our own subsystems.
     pub fn with_operator(config: &Config, file: Option<&Path>, log: Logger) -> Result<Self, NodeError> {
-        Node::with_signals(config, file, Signals::take()?, log)
+        Node::with_signals(config, file, Signals::install()?, log)
     }
 
     /// The same with signals that were taken before the files were read: one that comes in the middle of a
@@ -111,34 +111,41 @@
         let now = clock.now();
         let (settings, mut names, transport) = NameRegistry::read(&config.settings)?;
         let mut fleet = None;
-        let (mut agrees, mut outlives) = (None, None);
+        let (mut agreement_settings, mut continuity_settings) = (None, None);
         let operator = match file {
             Some(file) => {
-                let own = operator(file, Some(&names))?;
-                if let Some(set) = own.fleet.clone().filter(|set| set.enabled) {
+                let operator = read_operator_file(file, Some(&names))?;
+                if let Some(fleet_settings) = operator.fleet.clone().filter(|fleet| fleet.enabled) {
                     let hall = names.zone_name(settings.zone).unwrap_or_default().to_owned();
-                    fleet = Some((fleet_of(&set, config, &hall, digest(&own), now)?, set));
+                    fleet = Some((
+                        create_fleet(&fleet_settings, config, &hall, settings_digest(&operator), now)?,
+                        fleet_settings,
+                    ));
                 }
-                outlives = own.continuity.clone().filter(|set| set.enabled);
-                agrees = own.agreement.clone().map(|set| (set, own.out.clone().unwrap_or_default()));
-                let own = halls_of(own);
+                continuity_settings = operator.continuity.clone().filter(|continuity| continuity.enabled);
+                agreement_settings = operator
+                    .agreement
+                    .clone()
+                    .map(|agreement| (agreement, operator.out.clone().unwrap_or_default()));
+                let hall_settings = hall_settings(operator);
                 let (classes, zones) = (names.classes().to_vec(), &mut names);
-                let class = |name: &str| classes.iter().position(|c| c == name);
-                let halls = Halls::new(own, &settings, now, class, |name| zones.zone(name));
+                let class_index = |name: &str| classes.iter().position(|c| c == name);
+                let halls = Halls::new(hall_settings, &settings, now, class_index, |name| zones.zone(name));
                 Some((file.to_owned(), SharedHalls::new(halls)))
             }
             None => None,
         };
-        let lasting = lasting(&settings, &names, fleet.as_ref().map(|(fleet, _)| fleet), outlives, now);
+        let hand =
+            create_hand(&settings, &names, fleet.as_ref().map(|(fleet, _)| fleet), continuity_settings, now);
         let drains = Drains::new(&settings);
-        let figures = MetricsRegistry::default();
-        let counters = Counters::registered_in(&figures, names.classes());
+        let metrics = MetricsRegistry::default();
+        let counters = Counters::registered_in(&metrics, names.classes());
         let mut director = Director::new(settings, config.seed()?, now)?.with_counters(counters.clone());
-        let drains = agrees.as_ref().map(|_| SharedDrains::new(drains));
+        let drains = agreement_settings.as_ref().map(|_| SharedDrains::new(drains));
         if let Some(drains) = &drains {
             director = director.with_limits(Box::new(drains.clone()));
         }
-        if let Some(hand) = &lasting {
+        if let Some(hand) = &hand {
             director = director.with_limits(Box::new(hand.clone()));
         }
         if let Some((_, halls)) = &operator {
@@ -149,29 +156,31 @@
         let mut shared = Shared { poll, deadlines, inputs, events, counters, log, now, ownership: None };
         let mut folder = None;
         let peers = match fleet {
-            Some((fleet, set)) => {
-                folder = (!set.folder.is_empty()).then(|| PathBuf::from(&set.folder));
-                let named = |voters: &[String]| voters.iter().any(|name| **name == *fleet.me().name);
-                if folder.is_none() && agrees.as_ref().is_some_and(|(set, _)| named(&set.voters)) {
+            Some((fleet, fleet_settings)) => {
+                folder = (!fleet_settings.folder.is_empty()).then(|| PathBuf::from(&fleet_settings.folder));
+                let is_voter = |voters: &[String]| voters.iter().any(|name| **name == *fleet.me().name);
+                if folder.is_none()
+                    && agreement_settings.as_ref().is_some_and(|(settings, _)| is_voter(&settings.voters))
+                {
                     let why = "this director is named as a voter and has no folder; set fleet.folder";
                     return Err(NodeError::Fleet(why.into()));
                 }
-                let at = set.listens_at().map_err(|why| NodeError::Fleet(why.to_string()))?;
+                let at = fleet_settings.listens_at().map_err(|why| NodeError::Fleet(why.to_string()))?;
                 let listening = Peers::listen(&mut shared, at, fleet);
                 Some(listening.map_err(|why| NodeError::Fleet(format!("can't listen on {at}: {why}")))?)
             }
             None => None,
         };
-        let mut agreed = match (agrees, drains, &peers) {
-            (Some((set, budgets)), Some(drains), Some(peers)) => {
-                Some(Agreed::start(&shared, &set, budgets, drains, folder.as_deref(), peers))
+        let mut agreement = match (agreement_settings, drains, &peers) {
+            (Some((settings, budgets)), Some(drains), Some(peers)) => {
+                Some(Agreed::start(&shared, &settings, budgets, drains, folder.as_deref(), peers))
             }
             _ => None,
         };
-        if let (Some(agreed), Some(hand)) = (&mut agreed, lasting) {
+        if let (Some(agreement), Some(hand)) = (&mut agreement, hand) {
             let hands = Hands::new(hand);
             shared.ownership = Some(hands.leave(clock.clone()));
-            agreed.hands = Some(hands);
+            agreement.hands = Some(hands);
         }
         let admin = match config.admin_addr {
             Some(at) => {
@@ -183,17 +192,18 @@
             }
             None => None,
         };
-        let mut own = OWN_DESCRIPTORS;
-        own += if peers.is_some() { peers::DESCRIPTORS } else { 0 };
-        own += if admin.is_some() { door::DESCRIPTORS } else { 0 };
-        let sockets = config.limits.sockets.saturating_sub(own);
+        let mut reserved = RESERVED_DESCRIPTORS;
+        reserved += if peers.is_some() { peers::DESCRIPTORS } else { 0 };
+        reserved += if admin.is_some() { door::DESCRIPTORS } else { 0 };
+        let sockets = config.limits.sockets.saturating_sub(reserved);
         let listener = match config.inherited {
             Some(fd) => poll::inherit_listener(fd).map_err(|why| NodeError::Inherited(fd, why))?,
             None => viewers::listen(config.listen).map_err(|why| NodeError::Listen(config.listen, why))?,
         };
         let viewers = Viewers::on(&mut shared, listener, sockets / 2)
             .map_err(|why| NodeError::Listen(config.listen, why))?;
-        let duty = Lifecycle::new(grace_us(transport.longest_deadline_us()), config.inherited.is_some());
+        let lifecycle =
+            Lifecycle::new(grace_period_us(transport.longest_deadline_us()), config.inherited.is_some());
         let streamers = Streamers::new(transport.clone(), sockets / 2);
         let discovery = Bulletin::new(config.bulletin, config.known.no);
         let mut node = Node {
@@ -204,20 +214,20 @@
             shared,
             signals,
             components: Components { viewers, streamers, discovery, admin, peers },
-            agreed,
-            file: config.file().map(Path::to_owned),
+            agreement,
+            config_file: config.file().map(Path::to_owned),
             name: config.name.clone(),
-            info: config.settings.clone(),
+            raw_settings: config.settings.clone(),
             operator,
-            told_to_end: false,
-            duty,
-            figures,
-            estate: config.shared_folder().map(|folder| estate::place(folder, &config.name)),
-            inherited: false,
+            stop_requested: false,
+            lifecycle,
+            metrics,
+            handover_file: config.shared_folder().map(|folder| estate::place(folder, &config.name)),
+            handover_loaded: false,
             phase: ShutdownPhase::Serving,
             tracing: false,
         };
-        config.known.items.iter().for_each(|notice| node.notice(notice, true));
+        config.known.items.iter().for_each(|notice| node.handle_notice(notice, true));
         node.components.discovery.look(&mut node.shared);
         node.components.streamers.begin(&mut node.shared);
         Ok(node)
--- a/src/net/trace.rs
+++ b/src/net/trace.rs
@@ -21,7 +21,7 @@
 }
 
 /// An input, briefly; `None` for the list's news and the core's own timers, which are not traced.
-pub fn input(input: &Input) -> Option<String> {
+pub fn describe_input(input: &Input) -> Option<String> {
     Some(match input {
         Input::List { .. } | Input::Due(_) => return None,
         Input::Wanted { link, request, parcel } => {
@@ -41,8 +41,8 @@
 }
 
 /// A deed, briefly; `None` for wake-ups and the module's own lines, which are not traced.
-pub fn deed(deed: &Output) -> Option<String> {
-    Some(match deed {
+pub fn describe_output(output: &Output) -> Option<String> {
+    Some(match output {
         Output::Wake(..) | Output::Log(_) => return None,
         Output::Answer(link, id, description) => {
             format!("Answer {id:?} to {link:?}, {} bytes", description.len())
@@ -62,14 +62,15 @@
     use std::rc::Rc;
 
     #[test]
-    fn ids_stay_and_descriptions_go() {
+    fn trace_lines_keep_ids_and_omit_descriptions() {
         let parcel = Rc::new(Parcel { class: "paid".into(), title: "t".into(), description: vec![7; 500] });
         let request = Request { id: RequestId(42), ..Request::default() };
-        let wanted = input(&Input::Wanted { link: crate::director::ViewerLink(3), request, parcel });
+        let wanted = describe_input(&Input::Wanted { link: crate::director::ViewerLink(3), request, parcel });
         let wanted = wanted.expect("traced");
         assert!(wanted.contains("RequestId(42)") && wanted.len() < 400, "{wanted}");
-        let answer = deed(&Output::Answer(crate::director::ViewerLink(3), RequestId(42), vec![7; 500]));
+        let answer =
+            describe_output(&Output::Answer(crate::director::ViewerLink(3), RequestId(42), vec![7; 500]));
         assert_eq!(answer.as_deref(), Some("Answer RequestId(42) to ViewerLink(3), 500 bytes"));
-        assert!(deed(&Output::Probe(StreamerId(1))).is_some());
+        assert!(describe_output(&Output::Probe(StreamerId(1))).is_some());
     }
 }
