--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -11,10 +11,10 @@
 /// until the second returned stream, which fills the listener's queue, is accepted. The first is the
 /// viewer's connection.
 fn set_up_waiting_for_a_connection(rig: &Rig, id: u64, class: &str) -> (TcpStream, TcpStream) {
-    let backlog_filler = hold_back(&rig.streamer);
+    let backlog_filler = fill_accept_queue(&rig.streamer);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(id, class)).expect("written");
-    until("the set-up is sent", || rig.figure("sent") == 1);
+    wait_until("the set-up is sent", || rig.metric("sent") == 1);
     (viewer, backlog_filler)
 }
 
@@ -32,13 +32,13 @@
 /// before the close was processed.
 #[test]
 fn a_set_up_waiting_for_a_connection_is_not_sent_after_its_viewer_closed() {
-    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
+    let rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
     let (viewer, _backlog_filler) = set_up_waiting_for_a_connection(&rig, 0xc1, "replay");
-    rig.stop();
-    rig.close(viewer);
+    rig.suspend();
+    rig.close_viewer(viewer);
     drop(accept(&rig.streamer)); // the connection that filled the queue
     let mut streamer = rig.streamer(); // the director's own, established while the process is stopped
-    rig.go_on();
+    rig.resume();
     let mut other = rig.viewer();
     other.write_all(&set_up(0xc2, "replay")).expect("written");
     let request = read_rtsp(&mut streamer);
@@ -48,13 +48,13 @@
 /// The same race with a cancellation by the viewer on a connection that stays open.
 #[test]
 fn a_set_up_waiting_for_a_connection_is_not_sent_after_its_viewer_canceled() {
-    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
+    let rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
     let (mut viewer, _backlog_filler) = set_up_waiting_for_a_connection(&rig, 0xc3, "replay");
-    rig.stop();
+    rig.suspend();
     viewer.write_all(&message(12, 0xc3, &[(58, &[16])])).expect("written");
     drop(accept(&rig.streamer));
     let mut streamer = rig.streamer();
-    rig.go_on();
+    rig.resume();
     viewer.write_all(&set_up(0xc4, "replay")).expect("written");
     let request = read_rtsp(&mut streamer);
     assert!(request.starts_with("SETUP") && is_for(&request, 0xc4), "nothing was sent before: {request}");
@@ -63,17 +63,17 @@
 /// The same race with a streamer list update that says the streamer is draining.
 #[test]
 fn a_set_up_waiting_for_a_connection_is_not_sent_to_a_draining_streamer() {
-    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
-    let mut discovery = accept(&rig.bulletin);
+    let rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
+    let mut discovery = accept(&rig.discovery);
     let (mut viewer, _backlog_filler) = set_up_waiting_for_a_connection(&rig, 0xc5, "replay");
-    rig.stop();
+    rig.suspend();
     let draining = member("s-1", rig.streamer.local_addr().expect("bound"), "terminating");
     let roster = format!(r#"{{"no":2,"roster":{{"members":[{draining}]}}}}"#);
     drop(accept(&rig.streamer));
     let mut streamer = rig.streamer();
     discovery.write_all(format!("{roster}\n").as_bytes()).expect("written");
-    rig.go_on();
-    let (kind, id, parameters) = hear(&mut viewer);
+    rig.resume();
+    let (kind, id, parameters) = read_message(&mut viewer);
     assert_eq!(
         (kind, id, &parameters[..4]),
         (12, 0xc5, &[58, 0, 1, 42][..]),
@@ -92,10 +92,10 @@
     viewer.write_all(&set_up(0xc6, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    rig.stop();
-    streamer.write_all(&stands(0xc6, "answer")).expect("written");
-    rig.close(viewer);
-    rig.go_on();
+    rig.suspend();
+    streamer.write_all(&established_response(0xc6, "answer")).expect("written");
+    rig.close_viewer(viewer);
+    rig.resume();
     let mut other = rig.viewer();
     other.write_all(&set_up(0xc7, "replay")).expect("written");
     let request = read_rtsp(&mut streamer);
@@ -108,20 +108,20 @@
 /// answer.
 #[test]
 fn a_session_whose_answer_was_unread_at_a_reset_is_released_on_both_sides() {
-    let rig = Rig::with_door();
+    let rig = Rig::with_admin();
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xcc, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     let mut other = rig.viewer();
     other.write_all(&set_up(0xcd, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut other).1, 0xcd, "this is a viewer's connection, too");
-    streamer.write_all(&stands(0xcc, "answer")).expect("written");
+    assert_eq!(read_message(&mut other).1, 0xcd, "this is a viewer's connection, too");
+    streamer.write_all(&established_response(0xcc, "answer")).expect("written");
     viewer.peek(&mut [0]).expect("the answer is there");
     drop(viewer); // with the answer unread, this sends a reset
     let request = read_rtsp(&mut streamer);
     assert!(request.starts_with("TEARDOWN") && is_for(&request, 0xcc), "{request}");
-    assert_eq!(hear(&mut other), (12, 0xcc, vec![58, 0, 1, 41]));
+    assert_eq!(read_message(&mut other), (12, 0xcc, vec![58, 0, 1, 41]));
 }
 
 /// The viewer closed while the attempt was in flight: the attempt is canceled, and the session of an answer
@@ -133,10 +133,10 @@
     viewer.write_all(&set_up(0xc8, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    rig.stop();
-    rig.close(viewer);
-    streamer.write_all(&stands(0xc8, "answer")).expect("written");
-    rig.go_on();
+    rig.suspend();
+    rig.close_viewer(viewer);
+    streamer.write_all(&established_response(0xc8, "answer")).expect("written");
+    rig.resume();
     let request = read_rtsp(&mut streamer);
     assert!(request.starts_with("TEARDOWN") && is_for(&request, 0xc8), "{request}");
 }
@@ -146,13 +146,13 @@
 #[test]
 fn a_request_followed_by_end_of_input_starts_no_attempt() {
     let rig = Rig::start();
-    rig.stop();
+    rig.suspend();
     for (id, length) in [(0xc9, usize::MAX), (0xca, 40)] {
         let bytes = set_up(id, "replay");
         let mut viewer = rig.viewer();
         viewer.write_all(&bytes[..length.min(bytes.len())]).expect("written");
     }
-    rig.go_on();
+    rig.resume();
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xcb, "replay")).expect("written");
     let mut streamer = rig.streamer();
@@ -164,15 +164,15 @@
 /// and an answer that had arrived before the reset was discarded.
 #[test]
 fn an_answer_before_a_reset_is_read_despite_pending_writes() {
-    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
+    let rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
     socket2::SockRef::from(&*rig.streamer).set_recv_buffer_size(4_096).expect("set");
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xcf, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     // Few set-ups may wait for a title of which no session has been established yet.
-    streamer.write_all(&stands(0xcf, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(0xcf, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     viewer.write_all(&set_up(0xd0, "replay")).expect("written");
     read_rtsp(&mut streamer);
     // More than the kernel buffers for a streamer that does not read.
@@ -184,13 +184,13 @@
             [(16, b"replay"), (19, b"20000"), (28, b"7f3a"), (31, figures), (61, &long_description)];
         viewer.write_all(&message(1, 0x1_0000 + id, &parameters)).expect("written");
     }
-    until("all set-ups are sent", || rig.figure("sent") == queued_set_ups + 2);
-    assert!(rig.figure("relayed") < queued_set_ups + 2, "some set-ups wait to be written");
-    rig.stop();
-    streamer.write_all(&stands(0xd0, "answer")).expect("written");
+    wait_until("all set-ups are sent", || rig.metric("sent") == queued_set_ups + 2);
+    assert!(rig.metric("relayed") < queued_set_ups + 2, "some set-ups wait to be written");
+    rig.suspend();
+    streamer.write_all(&established_response(0xd0, "answer")).expect("written");
     close_with_reset(streamer);
-    rig.go_on();
-    let answer = (0..=queued_set_ups).map(|_| hear(&mut viewer)).find(|message| message.1 == 0xd0);
+    rig.resume();
+    let answer = (0..=queued_set_ups).map(|_| read_message(&mut viewer)).find(|message| message.1 == 0xd0);
     assert_eq!(answer.map(|message| message.0), Some(9), "the session is established");
 }
 
@@ -198,44 +198,46 @@
 /// established.
 #[test]
 fn sessions_with_undelivered_answers_are_released_at_their_streamer() {
-    let mut rig = Rig::with_door_and(&common::settings_with_long_timeouts());
+    let mut rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
     let viewer = rig.viewer();
     let mut streamer = None;
     let long_description = "a".repeat(15_000);
     let mut sent_count = 0;
     // The viewer reads nothing: its receive window closes, then the kernel's send buffer fills, then the
     // director's.
-    while rig.figure("overfull") == 0 {
+    while rig.metric("overfull") == 0 {
         sent_count += 1;
         assert!(sent_count < 2_000, "the connection is never closed");
         (&viewer).write_all(&set_up(sent_count, "replay")).expect("written");
         let streamer = streamer.get_or_insert_with(|| rig.streamer());
         read_rtsp(streamer);
-        streamer.write_all(&stands(sent_count, &long_description)).expect("written");
-        until("the request is answered", || rig.figure("served") == sent_count);
+        streamer.write_all(&established_response(sent_count, &long_description)).expect("written");
+        wait_until("the request is answered", || rig.metric("served") == sent_count);
     }
     next_line(&mut rig.log, "viewers do not read");
     let request = read_rtsp(streamer.as_mut().expect("connected"));
     assert!(request.starts_with("TEARDOWN"), "{request}");
-    until("all sessions with undelivered answers are released", || rig.figure("undelivered") > 1);
+    wait_until("all sessions with undelivered answers are released", || rig.metric("undelivered") > 1);
 }
 
 /// A reset while answers are half written: their sessions are released at the streamer, and so is the session
 /// that the viewer ended just before the reset. That message used to be discarded with the connection.
 #[test]
 fn a_reset_during_half_written_answers_leaves_no_session_established() {
-    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
-    let HalfWritten { mut viewer, mut streamer, first, .. } = half_written(&rig);
-    let undelivered = rig.figure("undelivered");
-    rig.stop();
+    let rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
+    let UnreadAnswers { mut viewer, mut streamer, first, .. } = unread_answers(&rig);
+    let undelivered = rig.metric("undelivered");
+    rig.suspend();
     viewer.write_all(&message(12, first, &[(58, &[16])])).expect("written");
     close_with_reset(viewer);
-    rig.go_on();
+    rig.resume();
     let request = read_rtsp(&mut streamer);
     assert!(
         request.starts_with("TEARDOWN") && is_for(&request, first),
         "released as the viewer asked: {request}"
     );
-    until("sessions with undelivered answers are released, too", || rig.figure("undelivered") > undelivered);
+    wait_until("sessions with undelivered answers are released, too", || {
+        rig.metric("undelivered") > undelivered
+    });
     assert!(read_rtsp(&mut streamer).starts_with("TEARDOWN"));
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -71,7 +71,8 @@
 
 /// Checks that a request of each class reaches the streamer unchanged and that its answer reaches the viewer.
 fn assert_serves_each_class(deployment: &RandomDeployment) {
-    let rig = Rig::deployed(&deployment.settings.to_string(), &deployment.zones[0], &deployment.kind);
+    let rig =
+        Rig::start_as_deployed(&deployment.settings.to_string(), &deployment.zones[0], &deployment.kind);
     let mut viewer = rig.viewer();
     let one_set_up_per_connection = deployment.settings["bounds"]["multiplex"] == 1;
     let mut streamer = None;
@@ -88,9 +89,9 @@
             set_up_request.contains(&format!("X-Quality: {lowest_rung}\r\n")),
             "the class's lowest rung overrides the viewer's top 0: {set_up_request}"
         );
-        connection.write_all(&stands(id, "answer")).expect("written");
+        connection.write_all(&established_response(id, "answer")).expect("written");
         assert_eq!(
-            hear(&mut viewer),
+            read_message(&mut viewer),
             (9, id, [&[61, 0, 6][..], b"answer"].concat()),
             "{class} one set-up per connection: {one_set_up_per_connection}"
         );
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -13,7 +13,7 @@
     let rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut viewer), (53, 9, vec![58, 0, 1, 1]), "the health check passes");
+    assert_eq!(read_message(&mut viewer), (53, 9, vec![58, 0, 1, 1]), "the health check passes");
     for piece in set_up(0xa1, "replay").chunks(7) {
         viewer.write_all(piece).expect("written");
     }
@@ -21,25 +21,25 @@
     let asked = read_rtsp(&mut streamer);
     assert!(asked.starts_with("SETUP rtsp://media/7f3a RTSP/1.0\r\n"), "{asked}");
     assert!(asked.contains("X-Quality: 1\r\n") && asked.ends_with("\r\n\r\noffer"), "{asked}");
-    for piece in stands(0xa1, "answer").chunks(11) {
+    for piece in established_response(0xa1, "answer").chunks(11) {
         streamer.write_all(piece).expect("written");
     }
-    assert_eq!(hear(&mut viewer), (9, 0xa1, [&[61, 0, 6][..], b"answer"].concat()));
+    assert_eq!(read_message(&mut viewer), (9, 0xa1, [&[61, 0, 6][..], b"answer"].concat()));
     // A release may arrive on any connection and be sent on any: the first viewer closes its own below.
     let mut other = rig.viewer();
     other.write_all(&set_up(0xa0, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut other).0, 12);
+    assert_eq!(read_message(&mut other).0, 12);
     // A connection with nothing but health checks belongs to the front end, which reads no other messages.
     let mut front = rig.viewer();
     front.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut front).0, 53);
+    assert_eq!(read_message(&mut front).0, 53);
     // The end of a closed connection may arrive after later data of another connection (seen once in CI).
     viewer.shutdown(Shutdown::Write).expect("shut");
     assert_eq!(viewer.read(&mut [0]).expect("closed"), 0, "the director closes it as well");
-    streamer.write_all(&over(0xa1)).expect("written");
-    assert_eq!(hear(&mut other), (12, 0xa1, vec![58, 0, 1, 16]));
+    streamer.write_all(&teardown(0xa1)).expect("written");
+    assert_eq!(read_message(&mut other), (12, 0xa1, vec![58, 0, 1, 16]));
     front.write_all(&message(52, 11, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut front).1, 11, "no other message arrived in between");
+    assert_eq!(read_message(&mut front).1, 11, "no other message arrived in between");
 }
 
 /// Guards against opening a connection for nearly every set-up, at 8 points of a session's worth each. This
@@ -47,17 +47,17 @@
 /// streamer within the last second.
 #[test]
 fn an_idle_connection_is_reused_where_a_handshake_has_a_cost() {
-    let rig = Rig::with(
+    let rig = Rig::with_settings(
         &common::SETTINGS_JSON.replace(r#""deductions": {}"#, r#""deductions": {"handshake": 0.08}"#),
     );
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xa5, "seat-view")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(0xa5, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
-    streamer.write_all(&over(0xa5)).expect("written");
-    assert_eq!(hear(&mut viewer), (12, 0xa5, vec![58, 0, 1, 16]));
+    streamer.write_all(&established_response(0xa5, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
+    streamer.write_all(&teardown(0xa5)).expect("written");
+    assert_eq!(read_message(&mut viewer), (12, 0xa5, vec![58, 0, 1, 16]));
     std::thread::sleep(Duration::from_millis(1500)); // longer than a connection counts as recently active
     viewer.write_all(&set_up(0xa6, "replay")).expect("written");
     assert!(read_rtsp(&mut streamer).contains("Session: 00000000000000a6"), "on the same connection");
@@ -73,7 +73,7 @@
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     drop(streamer);
-    assert_eq!(hear(&mut viewer), (12, 0xa2, vec![58, 0, 1, 41]));
+    assert_eq!(read_message(&mut viewer), (12, 0xa2, vec![58, 0, 1, 41]));
 }
 
 /// A malformed message closes its connection; the process and all other connections continue. A set-up of an
@@ -85,13 +85,13 @@
     malformed.write_all(&[0xff; 64]).expect("written");
     assert_eq!(malformed.read(&mut [0; 8]).unwrap_or(0), 0, "closed");
     well_formed.write_all(&set_up(0xa3, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut well_formed), (12, 0xa3, vec![58, 0, 1, 41]));
+    assert_eq!(read_message(&mut well_formed), (12, 0xa3, vec![58, 0, 1, 41]));
     well_formed.write_all(&set_up(0xa4, "seat-view")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     streamer.write_all(b"NOT RTSP AT ALL\r\n\r\n").expect("written");
     // The set-up may have run, but a repeat is harmless: refused at once, as there is no other streamer.
-    let (kind, session, parameters) = hear(&mut well_formed);
+    let (kind, session, parameters) = read_message(&mut well_formed);
     assert_eq!((kind, session, &parameters[..4]), (12, 0xa4, &[58, 0, 1, 42][..]));
 }
 
@@ -109,7 +109,7 @@
         .write_all(&[message(1, 0xb2, &bad_parameters), message(99, 0xb3, &[]), vec![0, 0]].concat())
         .expect("written");
     for id in [0xb2, 0xb3] {
-        assert_eq!(hear(&mut unusable), (12, id, vec![58, 0, 1, 41]));
+        assert_eq!(read_message(&mut unusable), (12, id, vec![58, 0, 1, 41]));
     }
     for mut stream in [silent, partial, unusable] {
         assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0, "closed");
@@ -118,7 +118,7 @@
     let mut health_check = rig.viewer();
     health_check.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
     assert_eq!(
-        hear(&mut health_check),
+        read_message(&mut health_check),
         (53, 10, vec![58, 0, 1, 1]),
         "an idle connection is closed to make room"
     );
@@ -145,7 +145,7 @@
     health_check.write_all(&message(52, 11, &[(58, &[0])])).expect("written");
     let waiting_connections: Vec<_> = (0..100).map(|_| rig.viewer()).collect();
     rig.signal("-CONT");
-    assert_eq!(hear(&mut health_check), (53, 11, vec![58, 0, 1, 1]));
+    assert_eq!(read_message(&mut health_check), (53, 11, vec![58, 0, 1, 1]));
     drop(waiting_connections);
 }
 
@@ -157,13 +157,13 @@
     let draining = member("s-1", rig.streamer.local_addr().expect("bound"), "terminating");
     let event = format!(r#"{{"no":2,"roster":{{"revision":2,"complete":false,"members":[{draining}]}}}}"#);
     for (expected, response) in [("after 1", format!("{event}\n{event}\n2\n")), ("after 2", "2\n".into())] {
-        let mut stream = accept(&rig.bulletin);
+        let mut stream = accept(&rig.discovery);
         assert_eq!(requested_position(&stream), expected);
         stream.write_all(response.as_bytes()).expect("written");
     }
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xa5, "replay")).expect("written");
-    let (kind, session, parameters) = hear(&mut viewer);
+    let (kind, session, parameters) = read_message(&mut viewer);
     assert_eq!(
         (kind, session, &parameters[..4]),
         (12, 0xa5, &[58, 0, 1, 42][..]),
@@ -184,8 +184,8 @@
     let mut rig = Rig::start();
     let mut viewer = rig.viewer();
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut viewer).0, 53);
-    let mut old_connection = accept(&rig.bulletin);
+    assert_eq!(read_message(&mut viewer).0, 53);
+    let mut old_connection = accept(&rig.discovery);
     assert_eq!(requested_position(&old_connection), "after 1");
     old_connection.write_all(b"{\"no\":2}\n2\n").expect("written");
     let file = rig.folder.join("config.json");
@@ -193,14 +193,14 @@
     std::fs::write(&file, text.replace("at_most_once", "whenever")).expect("written");
     rig.signal("-HUP");
     next_line(&mut rig.log, "the old configuration stays");
-    let new_bulletin = listener();
+    let new_bulletin = bind_listener();
     let [old_address, new_address] =
-        [&rig.bulletin, &new_bulletin].map(|l| l.local_addr().expect("bound").to_string());
+        [&rig.discovery, &new_bulletin].map(|l| l.local_addr().expect("bound").to_string());
     std::fs::write(&file, text.replace(&old_address, &new_address)).expect("written");
     rig.signal("-HUP");
     assert_eq!(requested_position(&accept(&new_bulletin)), "after 2");
     viewer.write_all(&message(52, 10, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut viewer), (53, 10, vec![58, 0, 1, 1]), "the connection stays open");
+    assert_eq!(read_message(&mut viewer), (53, 10, vec![58, 0, 1, 1]), "the connection stays open");
 }
 
 /// After SIGTERM connections and requests are still accepted and answered. Established sessions are released
@@ -212,16 +212,16 @@
     viewer.write_all(&set_up(0xa6, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(0xa6, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(0xa6, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     rig.signal("-USR1");
     assert!(next_line(&mut rig.log, "counters").contains("served=1"));
     rig.signal("-TERM");
     next_line(&mut rig.log, "asked to end");
     let mut late = rig.viewer();
     late.write_all(&set_up(0xa7, "nobody's")).expect("written");
-    assert_eq!(hear(&mut late), (12, 0xa7, vec![58, 0, 1, 41]));
-    assert_eq!(hear(&mut viewer), (12, 0xa6, vec![58, 0, 1, 41]), "released at shutdown");
+    assert_eq!(read_message(&mut late), (12, 0xa7, vec![58, 0, 1, 41]));
+    assert_eq!(read_message(&mut viewer), (12, 0xa6, vec![58, 0, 1, 41]), "released at shutdown");
     assert!(next_line(&mut rig.log, "ended").contains("taken=1"));
     assert!(rig.child.wait().expect("ended").success());
 }
@@ -263,7 +263,7 @@
     rig.signal("-USR1");
     for id in 1..30 {
         viewer.write_all(&set_up(id, "unheard-of")).expect("written");
-        assert_eq!(hear(&mut viewer).1, id);
+        assert_eq!(read_message(&mut viewer).1, id);
     }
     exited_process.wait().expect("ended");
     assert!(rig.child.try_wait().expect("asked").is_none(), "the director is still running");
--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -23,8 +23,8 @@
     viewer.write_all(&set_up(id, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(id, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(id, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     (viewer, streamer)
 }
 
@@ -42,7 +42,7 @@
 /// The final answer to a request; other sessions' ends on the same connection are passed over.
 fn final_answer(viewer: &mut TcpStream, id: u64) -> u8 {
     loop {
-        let (kind, of, _) = hear(viewer);
+        let (kind, of, _) = read_message(viewer);
         if of == id {
             return kind;
         }
@@ -55,10 +55,10 @@
     let (mut viewer, _streamer) = standing(&rig, 0x101);
     let noticed = told_to_end(&mut rig);
     sleep_until(noticed + BEFORE_THE_END);
-    rig.stop();
+    rig.suspend();
     viewer.write_all(&set_up(0x102, "seat-view")).expect("written");
     sleep_until(noticed + AFTER_THE_END);
-    rig.go_on();
+    rig.resume();
     assert_eq!(final_answer(&mut viewer, 0x102), 12, "refused or failed, but answered");
     next_line(&mut rig.log, "ended");
 }
@@ -69,13 +69,13 @@
     let _session = standing(&rig, 0x111);
     let noticed = told_to_end(&mut rig);
     sleep_until(noticed + BEFORE_THE_END);
-    rig.stop();
+    rig.suspend();
     let mut viewers: Vec<TcpStream> = (0..20).map(|_| rig.viewer()).collect();
     for (id, viewer) in (0x112..).zip(&mut viewers) {
         viewer.write_all(&set_up(id, "seat-view")).expect("written");
     }
     sleep_until(noticed + AFTER_THE_END);
-    rig.go_on();
+    rig.resume();
     for (id, viewer) in (0x112..).zip(&mut viewers) {
         assert_eq!(final_answer(viewer, id), 12, "refused or failed, but answered");
     }
@@ -84,13 +84,13 @@
 /// One client reads slowly and holds the process; others go on sending until their connection is ended.
 #[test]
 fn a_request_sent_while_the_last_answers_are_written_is_answered_or_its_connection_ended_before() {
-    let mut rig = Rig::with_door_and(&common::settings_with_long_timeouts());
-    let HalfWritten { viewer: _slow, mut streamer, first, .. } = half_written(&rig);
+    let mut rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
+    let UnreadAnswers { viewer: _slow, mut streamer, first, .. } = unread_answers(&rig);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(first + 9_000, "replay")).expect("written");
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(first + 9_000, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(first + 9_000, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     told_to_end(&mut rig);
     next_line(&mut rig.log, "waits for its last messages to be written");
     viewer.set_read_timeout(Some(CROSSING)).expect("set");
@@ -103,7 +103,7 @@
         }
     };
     if !ended {
-        viewer.set_read_timeout(Some(LONG)).expect("set");
+        viewer.set_read_timeout(Some(TIMEOUT)).expect("set");
         viewer.write_all(&set_up(first + 9_001, "replay")).expect("written");
         assert_eq!(final_answer(&mut viewer, first + 9_001), 12, "refused or failed, but answered");
     }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -29,26 +29,26 @@
 /// The repeat was decided on within the window and written whenever its connection came up.
 #[test]
 fn a_repeat_whose_connection_comes_up_past_the_window_is_not_sent() {
-    let rig = Rig::with_door_and(&short_window());
-    let mut discovery = accept(&rig.bulletin);
+    let rig = Rig::with_admin_and_settings(&short_window());
+    let mut discovery = accept(&rig.discovery);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x51, "seat-view")).expect("written");
     let mut first = rig.streamer();
     read_rtsp(&mut first);
     let sent = Instant::now();
-    let second = listener();
-    let filler = hold_back(&second);
+    let second = bind_listener();
+    let filler = fill_accept_queue(&second);
     let added = member("s-2", second.local_addr().expect("bound"), "in_service");
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{added}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
-    until("both are listed", || rig.figure("registry_entries") == 2);
+    wait_until("both are listed", || rig.metric("registry_entries") == 2);
     first.write_all(&refused_with(500, 0x51)).expect("written"); // it may have run
-    until("the repeat waits for its connection", || rig.figure("sent_again") == 1);
-    until("the window is over", || sent.elapsed() > REPEAT_WINDOW);
+    wait_until("the repeat waits for its connection", || rig.metric("sent_again") == 1);
+    wait_until("the window is over", || sent.elapsed() > REPEAT_WINDOW);
     drop(filler);
     drop(accept(&second));
     let mut repeat = accept(&second);
-    let answer = hear(&mut viewer);
+    let answer = read_message(&mut viewer);
     assert_eq!((answer.0, answer.1), (12, 0x51), "one final answer");
     drop(rig);
     assert_eq!(repeat.read(&mut [0; 64]).unwrap_or(0), 0, "nothing was sent");
@@ -57,19 +57,19 @@
 /// Within the window the same repeat goes out.
 #[test]
 fn a_repeat_within_the_window_is_sent() {
-    let rig = Rig::with_door_and(
+    let rig = Rig::with_admin_and_settings(
         &short_window().replace("\"repeat_window_us\": 300000", "\"repeat_window_us\": 9e7"),
     );
-    let mut discovery = accept(&rig.bulletin);
+    let mut discovery = accept(&rig.discovery);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x52, "seat-view")).expect("written");
     let mut first = rig.streamer();
     read_rtsp(&mut first);
-    let second = listener();
+    let second = bind_listener();
     let added = member("s-2", second.local_addr().expect("bound"), "in_service");
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{added}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
-    until("both are listed", || rig.figure("registry_entries") == 2);
+    wait_until("both are listed", || rig.metric("registry_entries") == 2);
     first.write_all(&refused_with(500, 0x52)).expect("written");
     assert!(read_rtsp(&mut accept(&second)).starts_with("SETUP"));
 }
@@ -78,7 +78,7 @@
 /// again; the next request is not touched by it.
 #[test]
 fn a_paid_answer_cut_at_any_byte_has_failed_once() {
-    let answer = stands(0x61, "answer");
+    let answer = established_response(0x61, "answer");
     for cut in 0..answer.len() {
         let rig = Rig::start();
         let mut viewer = rig.viewer();
@@ -87,35 +87,41 @@
         read_rtsp(&mut streamer);
         streamer.write_all(&answer[..cut]).expect("written");
         drop(streamer);
-        assert_eq!(hear(&mut viewer), (12, 0x61, vec![58, 0, 1, 41]), "cut at {cut}");
+        assert_eq!(read_message(&mut viewer), (12, 0x61, vec![58, 0, 1, 41]), "cut at {cut}");
         viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-        assert_eq!(hear(&mut viewer).0, 53, "nothing more about it, cut at {cut}");
+        assert_eq!(read_message(&mut viewer).0, 53, "nothing more about it, cut at {cut}");
     }
 }
 
 /// A second answer behind the first, of either kind, in the same read or later: the first one counts.
 #[test]
 fn of_two_answers_the_first_counts() {
-    for (late, seconds) in
-        [(false, stands(0x62, "again")), (true, stands(0x62, "again")), (true, refused_with(453, 0x62))]
-    {
+    for (late, seconds) in [
+        (false, established_response(0x62, "again")),
+        (true, established_response(0x62, "again")),
+        (true, refused_with(453, 0x62)),
+    ] {
         let rig = Rig::start();
         let mut viewer = rig.viewer();
         viewer.write_all(&set_up(0x62, "replay")).expect("written");
         let mut streamer = rig.streamer();
         read_rtsp(&mut streamer);
-        let first = stands(0x62, "answer");
+        let first = established_response(0x62, "answer");
         let answered = (9, 0x62, [&[61, 0, 6][..], b"answer"].concat());
         if late {
             streamer.write_all(&first).expect("written");
-            assert_eq!(hear(&mut viewer), answered);
+            assert_eq!(read_message(&mut viewer), answered);
             streamer.write_all(&seconds).expect("written");
         } else {
             streamer.write_all(&[first, seconds].concat()).expect("written");
-            assert_eq!(hear(&mut viewer), answered);
+            assert_eq!(read_message(&mut viewer), answered);
         }
-        streamer.write_all(&over(0x62)).expect("written");
-        assert_eq!(hear(&mut viewer), (12, 0x62, vec![58, 0, 1, 16]), "then its end, and nothing between");
+        streamer.write_all(&teardown(0x62)).expect("written");
+        assert_eq!(
+            read_message(&mut viewer),
+            (12, 0x62, vec![58, 0, 1, 16]),
+            "then its end, and nothing between"
+        );
     }
 }
 
@@ -130,11 +136,11 @@
     viewer.write_all(&message(12, 0x63, &[(58, &[16])])).expect("written");
     let given_up = read_rtsp(&mut streamer);
     assert!(given_up.starts_with("TEARDOWN") && !given_up.contains("Reason"), "{given_up}");
-    streamer.write_all(&stands(0x63, "answer")).expect("written");
+    streamer.write_all(&established_response(0x63, "answer")).expect("written");
     let released = read_rtsp(&mut streamer);
     assert!(released.starts_with("TEARDOWN") && released.contains("Reason"), "{released}");
     viewer.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut viewer).0, 53, "nothing of it reached the viewer");
+    assert_eq!(read_message(&mut viewer).0, 53, "nothing of it reached the viewer");
 }
 
 /// A connection that does not come up in its time proves that nothing ran: a paid viewer is refused, and may
@@ -142,25 +148,25 @@
 #[test]
 fn a_paid_set_up_whose_connection_never_comes_up_is_refused() {
     let rig = Rig::start();
-    let _filler = hold_back(&rig.streamer);
+    let _filler = fill_accept_queue(&rig.streamer);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x64, "replay")).expect("written");
-    let (kind, id, parameters) = hear(&mut viewer);
+    let (kind, id, parameters) = read_message(&mut viewer);
     assert_eq!((kind, id, &parameters[..4]), (12, 0x64, &[58, 0, 1, 42][..]));
 }
 
 /// A connection that comes up late, but within its time, carries the set-up that waited for it.
 #[test]
 fn a_set_up_goes_out_on_a_connection_that_comes_up_late() {
-    let rig = Rig::with_door_and(&short_window());
-    let filler = hold_back(&rig.streamer);
+    let rig = Rig::with_admin_and_settings(&short_window());
+    let filler = fill_accept_queue(&rig.streamer);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x65, "replay")).expect("written");
-    until("it is sent", || rig.figure("sent") == 1);
+    wait_until("it is sent", || rig.metric("sent") == 1);
     drop(filler);
     drop(accept(&rig.streamer));
     let mut streamer = rig.streamer();
     assert!(read_rtsp(&mut streamer).starts_with("SETUP"));
-    streamer.write_all(&stands(0x65, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(0x65, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
 }
--- a/tests/request_ends.rs
+++ b/tests/request_ends.rs
@@ -26,8 +26,8 @@
     let mut streamer = rig.streamer();
     assert!(read_rtsp(&mut streamer).starts_with("SETUP"));
     std::thread::sleep(Duration::from_millis(50)); // many turns later
-    streamer.write_all(&stands(0x201, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9, "served");
+    streamer.write_all(&established_response(0x201, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9, "served");
     ends(&mut viewer);
 }
 
@@ -37,15 +37,15 @@
     let rig = Rig::start();
     let mut other = rig.viewer();
     other.write_all(&set_up(0x20f, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut other).1, 0x20f, "it could be told, too");
+    assert_eq!(read_message(&mut other).1, 0x20f, "it could be told, too");
     let mut viewer = rig.viewer();
     let garbage = [0, 3, 1, 2, 3];
     viewer.write_all(&[&set_up(0x202, "replay")[..], &garbage].concat()).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&[stands(0x202, "answer"), over(0x202)].concat()).expect("written");
+    streamer.write_all(&[established_response(0x202, "answer"), teardown(0x202)].concat()).expect("written");
     for kind in [9, 12] {
-        let heard = hear(&mut viewer);
+        let heard = read_message(&mut viewer);
         assert_eq!((heard.0, heard.1), (kind, 0x202));
     }
     ends(&mut viewer);
@@ -62,9 +62,9 @@
         viewer.write_all(&set_up(id, "nobody's")).expect("written");
     }
     std::thread::sleep(Duration::from_millis(50));
-    streamer.write_all(&stands(0x211, "answer")).expect("written");
+    streamer.write_all(&established_response(0x211, "answer")).expect("written");
     loop {
-        match hear(&mut viewer) {
+        match read_message(&mut viewer) {
             (kind, 0x211, _) => break assert_eq!(kind, 9, "served"),
             (kind, id, _) => assert!(kind == 12 && (0x300..0x340).contains(&id)),
         }
@@ -74,9 +74,9 @@
 /// Answers pile up at the director, beyond what it keeps for a client that does not read, while a request is open.
 #[test]
 fn a_request_on_a_connection_that_reads_slowly_gets_its_answer() {
-    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
-    let HalfWritten { mut viewer, mut streamer, answers, first } = half_written(&rig);
-    let (open, served) = (first + 9_000, rig.figure("served"));
+    let rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
+    let UnreadAnswers { mut viewer, mut streamer, answers, first } = unread_answers(&rig);
+    let (open, served) = (first + 9_000, rig.metric("served"));
     viewer.write_all(&set_up(open, "replay")).expect("written");
     read_rtsp(&mut streamer);
     let long = "a".repeat(15_000);
@@ -86,14 +86,14 @@
         read_rtsp(&mut streamer);
     }
     for id in open + 1..=open + more {
-        streamer.write_all(&stands(id, &long)).expect("written");
+        streamer.write_all(&established_response(id, &long)).expect("written");
     }
-    until("all others are answered", || rig.figure("served") == served + more);
-    streamer.write_all(&stands(open, "answer")).expect("written");
+    wait_until("all others are answered", || rig.metric("served") == served + more);
+    streamer.write_all(&established_response(open, "answer")).expect("written");
     for _ in 0..answers + more {
-        assert_eq!(hear(&mut viewer).0, 9, "whole");
+        assert_eq!(read_message(&mut viewer).0, 9, "whole");
     }
-    assert_eq!(hear(&mut viewer).0, 9, "the last one, too");
+    assert_eq!(read_message(&mut viewer).0, 9, "the last one, too");
 }
 
 /// The second half of a request comes after the time in which a new connection has to have said something.
@@ -106,21 +106,21 @@
     viewer.write_all(&whole[..30]).expect("written");
     std::thread::sleep(Duration::from_millis(600));
     viewer.write_all(&whole[30..]).expect("the connection stays");
-    assert_eq!(hear(&mut viewer), (12, 0x221, vec![58, 0, 1, 41]));
+    assert_eq!(read_message(&mut viewer), (12, 0x221, vec![58, 0, 1, 41]));
 }
 
 /// A full table: a connection in the middle of bringing a request is not the one that is closed.
 #[test]
 fn a_connection_with_half_a_request_makes_no_room() {
-    let rig = Rig::with_door();
+    let rig = Rig::with_admin();
     let mut half = rig.viewer();
     let whole = set_up(0x231, "nobody's");
     half.write_all(&whole[..30]).expect("written");
     std::thread::sleep(Duration::from_millis(200)); // longest unheard of, and past its first time
     let crowd: Vec<TcpStream> = (0..200).map(|_| rig.viewer()).collect();
-    until("some made room", || rig.figure("viewers_shed") > 20);
+    wait_until("some made room", || rig.metric("viewers_shed") > 20);
     half.write_all(&whole[30..]).expect("the connection stays");
-    assert_eq!(hear(&mut half), (12, 0x231, vec![58, 0, 1, 41]));
+    assert_eq!(read_message(&mut half), (12, 0x231, vec![58, 0, 1, 41]));
     drop(crowd);
 }
 
@@ -129,7 +129,7 @@
 #[test]
 fn a_release_that_overtakes_its_answer_is_told_after_it() {
     let one_each = common::SETTINGS_JSON.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
-    let rig = Rig::with_door_and(&one_each);
+    let rig = Rig::with_admin_and_settings(&one_each);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x241, "replay")).expect("written");
     let mut first = rig.streamer();
@@ -137,14 +137,14 @@
     viewer.write_all(&set_up(0x242, "replay")).expect("written");
     let mut second = rig.streamer();
     read_rtsp(&mut second);
-    second.write_all(&over(0x241)).expect("written");
-    second.write_all(&stands(0x242, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).1, 0x242, "the release was heard before this");
-    first.write_all(&stands(0x241, "answer")).expect("written");
-    let (kind, id, _) = hear(&mut viewer);
+    second.write_all(&teardown(0x241)).expect("written");
+    second.write_all(&established_response(0x242, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).1, 0x242, "the release was heard before this");
+    first.write_all(&established_response(0x241, "answer")).expect("written");
+    let (kind, id, _) = read_message(&mut viewer);
     assert_eq!((kind, id), (9, 0x241));
     viewer.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
-    let (kind, id, parameters) = hear(&mut viewer);
+    let (kind, id, parameters) = read_message(&mut viewer);
     assert_eq!((kind, id, parameters), (12, 0x241, vec![58, 0, 1, 16]), "and its end");
 }
 
@@ -153,7 +153,7 @@
 #[test]
 fn a_release_lost_with_a_spoilt_connection_is_asked_for_on_a_new_one() {
     let one_each = common::SETTINGS_JSON.replace(r#""multiplex": 32"#, r#""multiplex": 1"#);
-    let rig = Rig::with_door_and(&one_each);
+    let rig = Rig::with_admin_and_settings(&one_each);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x251, "replay")).expect("written");
     let mut first = rig.streamer();
@@ -161,14 +161,14 @@
     viewer.write_all(&set_up(0x252, "replay")).expect("written");
     let mut second = rig.streamer();
     read_rtsp(&mut second);
-    first.write_all(&stands(0x251, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
-    first.write_all(&[b"SPOILT\r\n\r\n".to_vec(), over(0x251)].concat()).expect("written");
+    first.write_all(&established_response(0x251, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
+    first.write_all(&[b"SPOILT\r\n\r\n".to_vec(), teardown(0x251)].concat()).expect("written");
     let spoilt = Instant::now();
     let mut third = rig.streamer();
     assert!(spoilt.elapsed() < RELEASED, "begun within the time of a release");
-    third.write_all(&over(0x251)).expect("written");
-    let (kind, id, parameters) = hear(&mut viewer);
+    third.write_all(&teardown(0x251)).expect("written");
+    let (kind, id, parameters) = read_message(&mut viewer);
     assert_eq!((kind, id, parameters), (12, 0x251, vec![58, 0, 1, 16]), "its end");
 }
 
@@ -176,43 +176,43 @@
 #[test]
 fn a_release_lost_with_a_connection_that_made_room_is_asked_for_on_a_new_one() {
     let one_each = common::settings_with_long_timeouts().replace(r#""multiplex": 4096"#, r#""multiplex": 1"#);
-    let rig = Rig::with_door_and(&one_each);
+    let rig = Rig::with_admin_and_settings(&one_each);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0x261, "replay")).expect("written");
     let mut first = rig.streamer();
     read_rtsp(&mut first);
-    first.write_all(&stands(0x261, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    first.write_all(&established_response(0x261, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     // One more on the same connection, and one each on all others that there may be.
     let mut asked = 0;
-    while rig.figure("withdrawn") == 0 {
+    while rig.metric("withdrawn") == 0 {
         viewer.write_all(&set_up(0x1000 + asked, "replay")).expect("written");
         asked += 1;
-        until("it is sent", || rig.figure("relayed") == asked + 1 || rig.figure("withdrawn") > 0);
+        wait_until("it is sent", || rig.metric("relayed") == asked + 1 || rig.metric("withdrawn") > 0);
     }
-    assert_eq!(hear(&mut viewer).0, 12, "the last one found no connection");
+    assert_eq!(read_message(&mut viewer).0, 12, "the last one found no connection");
     read_rtsp(&mut first);
-    first.write_all(&stands(0x1000, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    first.write_all(&established_response(0x1000, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     let mut others: Vec<TcpStream> = (2..asked).map(|_| rig.streamer()).collect();
     // The next one goes to another streamer, whose connection needs a place.
-    let next = listener();
+    let next = bind_listener();
     let at = |of: &std::net::TcpListener| of.local_addr().expect("bound");
     let members = [member("s-1", at(&rig.streamer), "terminating"), member("s-2", at(&next), "in_service")];
-    let mut discovery = accept(&rig.bulletin);
+    let mut discovery = accept(&rig.discovery);
     let event = format!(r#"{{"no":2,"roster":{{"members":[{}]}}}}"#, members.join(","));
     discovery.write_all(format!("{event}\n").as_bytes()).expect("written");
-    until("it is in the list", || rig.figure("registry_entries") == 2);
+    wait_until("it is in the list", || rig.metric("registry_entries") == 2);
     viewer.write_all(&set_up(0x2000, "replay")).expect("written");
     let _other_streamer = accept(&next);
     ends(&mut first);
     let mut second = others.remove(0);
     read_rtsp(&mut second);
-    second.write_all(&stands(0x1001, "answer")).expect("written"); // a place for a new one
+    second.write_all(&established_response(0x1001, "answer")).expect("written"); // a place for a new one
     let answered = Instant::now();
     let mut another = rig.streamer();
     assert!(answered.elapsed() < RELEASED, "begun within the time of a release");
-    another.write_all(&over(0x261)).expect("written");
-    assert_eq!(hear(&mut viewer).1, 0x1001);
-    assert_eq!(hear(&mut viewer), (12, 0x261, vec![58, 0, 1, 16]), "its end");
+    another.write_all(&teardown(0x261)).expect("written");
+    assert_eq!(read_message(&mut viewer).1, 0x1001);
+    assert_eq!(read_message(&mut viewer), (12, 0x261, vec![58, 0, 1, 16]), "its end");
 }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,7 +1,7 @@
-//! A director as a process, with its streamer, its bulletin and its viewers played by hand. Every wait here ends
+//! A director as a process, with its streamer, its discovery and its viewers played by hand. Every wait here ends
 //! at something that happens; the time limits are only for what never does.
 #![allow(dead_code)]
-mod half_written;
+mod unread_answers;
 
 use crate::common;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,35 +14,35 @@
 use std::time::Duration;
 
 #[allow(unused_imports)]
-pub use half_written::{HalfWritten, half_written};
+pub use unread_answers::{UnreadAnswers, unread_answers};
 
-pub const LONG: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 /// The state of a connection whose other side has ended, in the kernel's table.
-const CLOSE_WAIT: &str = "08";
+const TCP_CLOSE_WAIT: &str = "08";
 /// Sets the level of the directors' logs, which a test that fails prints.
-const LOG_LEVEL: &str = "STONEWHARF_TEST_LOG";
-static NEXT: AtomicU64 = AtomicU64::new(1);
+const LOG_LEVEL_VARIABLE: &str = "STONEWHARF_TEST_LOG";
+static NEXT_FOLDER_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A director as a process, with its streamer and its bulletin.
+/// A director as a process, with its streamer and its discovery.
 pub struct Rig {
     pub child: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Where its operators call, if it has a door.
-    pub door: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     pub log: BufReader<std::process::ChildStderr>,
     pub streamer: Arc<TcpListener>,
-    pub bulletin: Arc<TcpListener>,
+    pub discovery: Arc<TcpListener>,
     pub folder: PathBuf,
 }
 
-pub fn listener() -> TcpListener {
+pub fn bind_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
 /// The next connection; fails where none comes.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("set");
-    let until = std::time::Instant::now() + LONG;
+    let until = std::time::Instant::now() + TIMEOUT;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
@@ -56,8 +56,8 @@
 }
 
 /// Looks until something holds; fails where it never does.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = std::time::Instant::now() + LONG;
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let end = std::time::Instant::now() + TIMEOUT;
     while !holds() {
         assert!(std::time::Instant::now() < end, "never: {what}");
         std::thread::sleep(Duration::from_millis(2));
@@ -65,7 +65,7 @@
 }
 
 /// Keeps connections to a listener from coming up until the returned one, which fills its queue, is accepted.
-pub fn hold_back(listener: &TcpListener) -> TcpStream {
+pub fn fill_accept_queue(listener: &TcpListener) -> TcpStream {
     socket2::SockRef::from(listener).listen(0).expect("a queue of one");
     TcpStream::connect(listener.local_addr().expect("bound")).expect("queued")
 }
@@ -74,10 +74,10 @@
     member_of(id, at, phase, "hall-a", "two-core")
 }
 
-/// The same in another hall, of another kind.
-pub fn member_of(id: &str, at: SocketAddr, phase: &str, hall: &str, kind: &str) -> String {
+/// The same in another zone, of another kind.
+pub fn member_of(id: &str, at: SocketAddr, phase: &str, zone: &str, kind: &str) -> String {
     format!(
-        r#"{{"id":"{id}","host_port":"{at}","locality":"{hall}","flavor":"{kind}","cell":0,"phase":"{phase}",
+        r#"{{"id":"{id}","host_port":"{at}","locality":"{zone}","flavor":"{kind}","cell":0,"phase":"{phase}",
         "size":1,"up_since_ms":0}}"#
     )
     .replace('\n', "")
@@ -85,91 +85,104 @@
 
 impl Rig {
     pub fn start() -> Rig {
-        Rig::with(common::SETTINGS_JSON)
+        Rig::with_settings(common::SETTINGS_JSON)
     }
 
-    pub fn with(settings: &str) -> Rig {
-        How::new(settings).start()
+    pub fn with_settings(settings: &str) -> Rig {
+        RigOptions::new(settings).start()
     }
 
     /// With a door for operators.
-    pub fn with_door() -> Rig {
-        Rig::with_door_and(common::SETTINGS_JSON)
+    pub fn with_admin() -> Rig {
+        Rig::with_admin_and_settings(common::SETTINGS_JSON)
     }
 
-    pub fn with_door_and(settings: &str) -> Rig {
-        How { door: true, ..How::new(settings) }.start()
+    pub fn with_admin_and_settings(settings: &str) -> Rig {
+        RigOptions { admin: true, ..RigOptions::new(settings) }.start()
     }
 
     /// With a door, on a listening socket that this process holds, as another one before it may do.
-    pub fn on(held: &TcpListener, streamer: &Arc<TcpListener>, bulletin: &Arc<TcpListener>) -> Rig {
-        let (streamer, bulletin) = (Arc::clone(streamer), Arc::clone(bulletin));
-        How { door: true, held: Some(held), streamer, bulletin, ..How::new(common::SETTINGS_JSON) }.start()
+    pub fn on_listener(
+        inherited: &TcpListener,
+        streamer: &Arc<TcpListener>,
+        discovery: &Arc<TcpListener>,
+    ) -> Rig {
+        let (streamer, discovery) = (Arc::clone(streamer), Arc::clone(discovery));
+        RigOptions {
+            admin: true,
+            inherited: Some(inherited),
+            streamer,
+            discovery,
+            ..RigOptions::new(common::SETTINGS_JSON)
+        }
+        .start()
     }
 
-    /// Started as the deploy file's `run` says, from the root of the repository, for a deployment with this hall
+    /// Started as the deploy file's `run` says, from the root of the repository, for a deployment with this zone
     /// and kind of streamer.
-    pub fn deployed(settings: &str, hall: &str, kind: &str) -> Rig {
+    pub fn start_as_deployed(settings: &str, zone: &str, kind: &str) -> Rig {
         let deploy = std::fs::read_to_string("deploy/balancer.toml").expect("the deploy file");
         let run = deploy.lines().find_map(|l| l.strip_prefix("run = \"exec ")).expect("run ends by exec");
         let run = run.split('"').next().expect("quoted");
         let mut words = run.split(' ').map(str::to_owned);
         assert_eq!(words.next().as_deref(), Some("target/release/stonewharf"));
-        How { arguments: words.collect(), hall, kind, ..How::new(settings) }.start()
+        RigOptions { arguments: words.collect(), zone, kind, ..RigOptions::new(settings) }.start()
     }
 
     /// A call at the door: status and body. The connection ends with the answer.
-    pub fn call(&self, method: &str, path: &str) -> (u16, String) {
-        let mut stream = TcpStream::connect(self.door.expect("a door")).expect("taken");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+    pub fn admin_call(&self, method: &str, path: &str) -> (u16, String) {
+        let mut stream = TcpStream::connect(self.admin.expect("a door")).expect("taken");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         write!(stream, "{method} {path} HTTP/1.1\r\nHost: here\r\n\r\n").expect("written");
-        answered(stream)
+        read_http_response(stream)
     }
 
     pub fn viewer(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.at).expect("taken");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        let stream = TcpStream::connect(self.address).expect("taken");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         stream
     }
 
     pub fn streamer(&self) -> TcpStream {
         let stream = accept(&self.streamer);
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         stream
     }
 
     /// Stops the process, and returns once it stands still: all that comes from then on it meets in one turn.
-    pub fn stop(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let file = format!("/proc/{}/stat", self.child.id());
         let state = || std::fs::read_to_string(&file).expect("it runs");
-        until("it stands still", || state().rsplit(')').next().is_some_and(|rest| rest.starts_with(" T")));
+        wait_until("it stands still", || {
+            state().rsplit(')').next().is_some_and(|rest| rest.starts_with(" T"))
+        });
     }
 
     /// Closes a viewer's connection, and returns once the director's machine has its end: the two are on loopback,
     /// but on a busy machine what one side sends may reach the other later.
-    pub fn close(&self, viewer: TcpStream) {
+    pub fn close_viewer(&self, viewer: TcpStream) {
         let port = |at: SocketAddr| format!(":{:04X}", at.port());
-        let (here, there) = (port(self.at), port(viewer.local_addr().expect("bound")));
+        let (here, there) = (port(self.address), port(viewer.local_addr().expect("bound")));
         drop(viewer);
         let came = |line: &str| {
             let words: Vec<&str> = line.split_whitespace().collect();
             let at = |index: usize| words.get(index).copied().unwrap_or_default();
-            at(1).ends_with(&here) && at(2).ends_with(&there) && at(3) == CLOSE_WAIT
+            at(1).ends_with(&here) && at(2).ends_with(&there) && at(3) == TCP_CLOSE_WAIT
         };
-        until("its end came", || {
+        wait_until("its end came", || {
             std::fs::read_to_string("/proc/net/tcp").expect("it is there").lines().any(came)
         });
     }
 
     /// Lets a stopped process go on.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// A figure at the door.
-    pub fn figure(&self, name: &str) -> u64 {
-        let (_, body) = self.call("GET", "/_vars");
+    pub fn metric(&self, name: &str) -> u64 {
+        let (_, body) = self.admin_call("GET", "/_vars");
         let of = |line: &str| line.strip_prefix("svc.")?.strip_prefix(name)?.strip_prefix('=')?.parse().ok();
         body.lines().find_map(of).expect("a figure")
     }
@@ -181,69 +194,69 @@
 }
 
 /// How a director is started.
-struct How<'a> {
+struct RigOptions<'a> {
     settings: &'a str,
     arguments: Vec<String>,
-    hall: &'a str,
+    zone: &'a str,
     kind: &'a str,
-    held: Option<&'a TcpListener>,
+    inherited: Option<&'a TcpListener>,
     streamer: Arc<TcpListener>,
-    bulletin: Arc<TcpListener>,
-    door: bool,
+    discovery: Arc<TcpListener>,
+    admin: bool,
 }
 
-impl<'a> How<'a> {
+impl<'a> RigOptions<'a> {
     fn new(settings: &'a str) -> Self {
-        let (streamer, bulletin) = (Arc::new(listener()), Arc::new(listener()));
-        let (hall, kind, arguments) = ("hall-a", "two-core", Vec::new());
-        How { settings, arguments, hall, kind, held: None, streamer, bulletin, door: false }
+        let (streamer, discovery) = (Arc::new(bind_listener()), Arc::new(bind_listener()));
+        let (zone, kind, arguments) = ("hall-a", "two-core", Vec::new());
+        RigOptions { settings, arguments, zone, kind, inherited: None, streamer, discovery, admin: false }
     }
 
     fn start(self) -> Rig {
-        let How { settings, arguments, hall, kind, held, streamer, bulletin, door } = self;
+        let RigOptions { settings, arguments, zone, kind, inherited, streamer, discovery, admin } = self;
         let folder = std::env::temp_dir().join(format!(
             "stonewharf-test-{}-{}",
             std::process::id(),
-            NEXT.fetch_add(1, Ordering::Relaxed)
+            NEXT_FOLDER_ID.fetch_add(1, Ordering::Relaxed)
         ));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let members = member_of("s-1", streamer.local_addr().expect("bound"), "in_service", hall, kind);
-        let listen = held.map_or("127.0.0.1:0".into(), |h| h.local_addr().expect("bound").to_string());
+        let members = member_of("s-1", streamer.local_addr().expect("bound"), "in_service", zone, kind);
+        let listen = inherited.map_or("127.0.0.1:0".into(), |h| h.local_addr().expect("bound").to_string());
         let config = format!(
             r#"{{"name":"n0","listen":"{listen}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":128}},"bulletin":"{}",
             "known":{{"no":1,"items":[{{"no":1,"roster":{{"revision":1,"complete":true,"members":[{members}]}}}}]}},
             "settings":{settings}}}"#,
-            bulletin.local_addr().expect("bound")
+            discovery.local_addr().expect("bound")
         );
         let file = folder.join("config.json");
         std::fs::write(&file, config).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_stonewharf"));
         command.args(arguments).env("LB_CONFIG", &file).stderr(Stdio::piped());
-        if let Ok(level) = std::env::var(LOG_LEVEL) {
+        if let Ok(level) = std::env::var(LOG_LEVEL_VARIABLE) {
             command.args(["serve", "--log-level", &level]);
         }
-        if door {
+        if admin {
             command.env("LB_ADMIN_ADDR", "127.0.0.1:0");
         }
-        if let Some(held) = held {
+        if let Some(inherited) = inherited {
             // Handed down under its own number.
-            rustix::io::fcntl_setfd(held, rustix::io::FdFlags::empty()).expect("handed down");
-            command.env("LB_INHERITED_FD", held.as_raw_fd().to_string());
+            rustix::io::fcntl_setfd(inherited, rustix::io::FdFlags::empty()).expect("handed down");
+            command.env("LB_INHERITED_FD", inherited.as_raw_fd().to_string());
             // The processes share a folder.
             let shared = std::env::temp_dir().join(format!(
                 "stonewharf-held-{}-{}",
                 std::process::id(),
-                held.as_raw_fd()
+                inherited.as_raw_fd()
             ));
             std::fs::create_dir_all(&shared).expect("a folder");
             command.env("TMPDIR", shared);
         }
         let mut child = command.spawn().expect("started");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
-        let door = door.then(|| address(&next_line(&mut log, "operators call")));
-        let at = address(&next_line(&mut log, "serves"));
-        Rig { child, at, door, log, streamer, bulletin, folder }
+        let admin = admin.then(|| parse_address(&next_line(&mut log, "operators call")));
+        let address = parse_address(&next_line(&mut log, "serves"));
+        Rig { child, address, admin, log, streamer, discovery, folder }
     }
 }
 
@@ -292,17 +305,17 @@
 }
 
 /// A viewer that reads nothing for now, and whose machine keeps little for it.
-pub fn deaf_viewer(at: SocketAddr) -> TcpStream {
+pub fn non_reading_viewer(at: SocketAddr) -> TcpStream {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("set");
     socket.connect(&at.into()).expect("taken");
-    socket.set_read_timeout(Some(LONG)).expect("set");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("set");
     socket.into()
 }
 
 /// The next message to a viewer: type, session, parameters.
-pub fn hear(stream: &mut TcpStream) -> (u8, u64, Vec<u8>) {
+pub fn read_message(stream: &mut TcpStream) -> (u8, u64, Vec<u8>) {
     let mut length = [0; 2];
     stream.read_exact(&mut length).expect("a message");
     let mut body = vec![0; usize::from(u16::from_be_bytes(length))];
@@ -329,26 +342,26 @@
     String::from_utf8_lossy(&[bytes, body].concat()).to_string()
 }
 
-pub fn stands(session: u64, body: &str) -> Vec<u8> {
+pub fn established_response(session: u64, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: {session:016x}\r\nContent-Length: {length}\r\n\r\n{body}")
         .into()
 }
 
-pub fn over(session: u64) -> Vec<u8> {
+pub fn teardown(session: u64) -> Vec<u8> {
     let first = "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\n";
     format!("{first}Session: {session:016x}\r\nReason: cause=16\r\nContent-Length: 0\r\n\r\n").into()
 }
 
 /// The answer at the door, whole.
-pub fn answered(mut stream: TcpStream) -> (u16, String) {
+pub fn read_http_response(mut stream: TcpStream) -> (u16, String) {
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("an answer");
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
     (head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status"), body.to_owned())
 }
 
-fn address(line: &str) -> SocketAddr {
+fn parse_address(line: &str) -> SocketAddr {
     let at = line.split("at: ").nth(1).and_then(|t| t.split(',').next()).expect("an address");
     at.trim().parse().expect("an address")
 }
--- a/tests/rig/half_written.rs
+++ b/tests/rig/unread_answers.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 /// Such a connection.
-pub struct HalfWritten {
+pub struct UnreadAnswers {
     pub viewer: TcpStream,
     pub streamer: TcpStream,
     /// How many answers were given on it.
@@ -12,28 +12,28 @@
 }
 
 /// Brings a connection that nobody reads near the point at which the director would close it.
-pub fn half_written(rig: &Rig) -> HalfWritten {
+pub fn unread_answers(rig: &Rig) -> UnreadAnswers {
     // A first connection tells how many answers the machines keep before too much waits at the director.
-    let mut full = deaf_viewer(rig.at);
+    let mut full = non_reading_viewer(rig.address);
     full.write_all(&set_up(1, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(1, "answer")).expect("written");
-    until("answered", || rig.figure("served") == 1);
-    let most = long_answers(rig, &mut full, &mut streamer, |_| rig.figure("overfull") == 0);
+    streamer.write_all(&established_response(1, "answer")).expect("written");
+    wait_until("answered", || rig.metric("served") == 1);
+    let most = long_answers(rig, &mut full, &mut streamer, |_| rig.metric("overfull") == 0);
     for _ in 0..ended_sessions(rig) {
         assert!(read_rtsp(&mut streamer).starts_with("TEARDOWN"));
     }
-    let mut viewer = deaf_viewer(rig.at);
-    let first = rig.figure("served") + 1;
+    let mut viewer = non_reading_viewer(rig.address);
+    let first = rig.metric("served") + 1;
     let answers = long_answers(rig, &mut viewer, &mut streamer, |answers| answers < most - 4);
-    HalfWritten { viewer, streamer, answers, first }
+    UnreadAnswers { viewer, streamer, answers, first }
 }
 
 /// Sessions that were ended because their answers had not left.
 fn ended_sessions(rig: &Rig) -> u64 {
-    until("some are", || rig.figure("undelivered") > 0);
-    rig.figure("undelivered")
+    wait_until("some are", || rig.metric("undelivered") > 0);
+    rig.metric("undelivered")
 }
 
 /// Sets sessions up for a viewer that reads nothing, with long answers, as long as `more` says; tells how many.
@@ -44,7 +44,7 @@
     more: impl Fn(u64) -> bool,
 ) -> u64 {
     let long = "a".repeat(15_000);
-    let before = rig.figure("served");
+    let before = rig.metric("served");
     let mut answers = 0;
     while more(answers) {
         answers += 1;
@@ -52,8 +52,8 @@
         let id = before + answers;
         viewer.write_all(&set_up(id, "replay")).expect("written");
         read_rtsp(streamer);
-        streamer.write_all(&stands(id, &long)).expect("written");
-        until("answered", || rig.figure("served") == id);
+        streamer.write_all(&established_response(id, &long)).expect("written");
+        wait_until("answered", || rig.metric("served") == id);
     }
     answers
 }
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -60,23 +60,27 @@
     read_rtsp(&mut streamer);
     let (mut partial, whole_request) = (rig.viewer(), set_up(0xe2, "seat-view"));
     partial.write_all(&whole_request[..30]).expect("written");
-    rig.stop();
+    rig.suspend();
     let mut unread = rig.viewer();
     unread.write_all(&set_up(0xe3, "seat-view")).expect("written");
     rig.signal("-TERM");
-    rig.go_on();
+    rig.resume();
     next_line(&mut rig.log, "asked to end");
     rig.signal("-TERM");
     partial.write_all(&whole_request[30..]).expect("written");
-    streamer.write_all(&stands(0xe1, "answer")).expect("written");
+    streamer.write_all(&established_response(0xe1, "answer")).expect("written");
     for viewer in [&mut outstanding, &mut partial, &mut unread] {
-        let answer = hear(viewer);
+        let answer = read_message(viewer);
         if answer.1 != 0xe1 {
             assert_eq!((answer.0, &answer.2[..3]), (12, &[58, 0, 1][..]), "exactly one answer, of any kind");
         }
     }
     outstanding.write_all(&message(52, 9, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(&mut outstanding), (53, 9, vec![58, 0, 1, 0]), "open connections are still answered");
+    assert_eq!(
+        read_message(&mut outstanding),
+        (53, 9, vec![58, 0, 1, 0]),
+        "open connections are still answered"
+    );
     next_line(&mut rig.log, "ended");
     assert!(rig.child.wait().expect("ended").success());
 }
@@ -85,10 +89,10 @@
 #[test]
 fn sigterm_together_with_sighup_is_an_orderly_shutdown() {
     let mut rig = Rig::start();
-    rig.stop();
+    rig.suspend();
     rig.signal("-HUP");
     rig.signal("-TERM");
-    rig.go_on();
+    rig.resume();
     next_line(&mut rig.log, "asked to end");
     next_line(&mut rig.log, "the configuration was read again");
     next_line(&mut rig.log, "ended");
@@ -98,12 +102,12 @@
 /// Guards against discarding, at exit, answers that did not fit into the viewer's receive buffer.
 #[test]
 fn partly_written_answers_are_completed_before_exit() {
-    let mut rig = Rig::with_door_and(&common::settings_with_long_timeouts());
-    let HalfWritten { mut viewer, answers, .. } = half_written(&rig);
+    let mut rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
+    let UnreadAnswers { mut viewer, answers, .. } = unread_answers(&rig);
     rig.signal("-TERM");
     next_line(&mut rig.log, "waits for its last messages to be written");
     for _ in 0..answers {
-        assert_eq!(hear(&mut viewer).0, 9, "a complete answer");
+        assert_eq!(read_message(&mut viewer).0, 9, "a complete answer");
     }
     next_line(&mut rig.log, "ended");
 }
