--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,9 +1,10 @@
-//! The director's one clock.
+//! The director's clock.
 use crate::interface::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time, read once, and the monotonic clock from there on: it never goes back, and starts of streamers
-/// before our own lie in its past.
+/// Unix time, read once at startup and advanced by the monotonic clock.
+///
+/// It never goes back, and streamers that started before this process have start times in its past.
 #[derive(Clone)]
 pub struct Clock {
     start_unix_us: Micros,
@@ -11,13 +12,13 @@
 }
 
 impl Clock {
-    /// Reads Unix time, this once.
+    /// Starts the clock at the current Unix time.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start_unix_us: since_epoch.as_micros() as Micros, started: Instant::now() }
     }
 
-    /// Now, in microseconds of Unix time.
+    /// Returns the current Unix time in microseconds.
     pub fn now(&self) -> Micros {
         self.start_unix_us.saturating_add(self.started.elapsed().as_micros() as Micros)
     }
--- a/src/net/component.rs
+++ b/src/net/component.rs
@@ -1,31 +1,34 @@
-//! The one shape of the loop's parts: each owns some descriptors and deadlines, takes what comes of them, and
-//! leaves what the rest of the program must know in [`Shared`]. A part decides nothing and knows no other.
+//! The interface between the event loop and its components.
+//!
+//! Each component owns some descriptors and deadlines, handles their events, and stores in [`Shared`] what
+//! the rest of the program has to process. A component makes no decisions and does not depend on other
+//! components.
 use super::poll::Token;
 use super::shared::{Deadline, Shared};
 use crate::director::Director;
 
-/// A descriptor that is ready.
+/// Readiness of a descriptor.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// Whose.
+    /// Token of the descriptor.
     pub token: Token,
-    /// Something can be read, or its end has come.
+    /// Data or the end of the stream can be read.
     pub readable: bool,
-    /// Something can be written.
+    /// Data can be written.
     pub writable: bool,
 }
 
-/// A part of the loop.
+/// A component of the event loop.
 pub trait Component {
-    /// Whether a token is one of its own.
+    /// Returns whether the token belongs to this component.
     fn owns(&self, token: Token) -> bool;
 
-    /// Reads and writes one of its descriptors.
+    /// Reads from and writes to one of its descriptors.
     fn on_ready(&mut self, shared: &mut Shared, director: &Director, ready: Ready);
 
-    /// Acts on a deadline; false where it is not one of its own.
+    /// Handles a deadline that has passed. Returns false if it belongs to another component.
     fn on_deadline(&mut self, shared: &mut Shared, director: &Director, deadline: Deadline) -> bool;
 
-    /// The turn is over: what was put off to its end.
+    /// Performs the work that was deferred to the end of the turn.
     fn on_turn_end(&mut self, _shared: &mut Shared) {}
 }
--- a/src/net/components.rs
+++ b/src/net/components.rs
@@ -1,5 +1,5 @@
-//! All parts of a director's loop, by name, and whose a descriptor or deadline is. Knows the parts; they do
-//! not know it.
+//! The components of the event loop, and the dispatch of ready descriptors and deadlines to them. The
+//! components do not depend on this module.
 use super::bulletin::Bulletin;
 use super::component::{Component, Ready};
 use super::door::Door;
@@ -9,24 +9,25 @@
 use super::viewers::Viewers;
 use crate::director::Director;
 
-/// All parts of a director's loop, by name for whoever has something for one of them. They are asked one
-/// after the other by name, not through the trait: this comes in every turn, and must cost nothing for a part
-/// that is off.
+/// The components of the event loop.
+///
+/// They are named fields and not a list of trait objects, so that other code can call a specific one.
+/// Dispatch happens in every turn and must cost nothing for a component that is disabled.
 pub struct Components {
-    /// Where viewers come in.
+    /// The viewers' listener and connections.
     pub viewers: Viewers,
     /// The connections to streamers.
     pub streamers: Streamers,
-    /// The connection to the bulletin.
+    /// The connection to discovery.
     pub discovery: Bulletin,
-    /// The operators' door, where there is one.
+    /// The admin interface, if enabled.
     pub admin: Option<Door>,
-    /// The sockets of the fleet, where it is on.
+    /// The sockets of the fleet, if enabled.
     pub peers: Option<Peers>,
 }
 
 impl Components {
-    /// Hands a descriptor that is ready to whose it is; one that is nobody's any more is passed over.
+    /// Passes a ready descriptor to the component that owns it. Does nothing if none owns it any more.
     pub fn on_ready(&mut self, shared: &mut Shared, director: &Director, ready: Ready) {
         let Components { viewers, streamers, discovery, admin, peers } = self;
         if viewers.owns(ready.token) {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Hands a deadline to whose it is.
+    /// Passes a deadline to the component that it belongs to.
     pub fn on_deadline(&mut self, shared: &mut Shared, director: &Director, deadline: Deadline) {
         let _ = self.viewers.on_deadline(shared, director, deadline)
             || self.streamers.on_deadline(shared, director, deadline)
@@ -51,7 +52,7 @@
             || self.peers.as_mut().is_some_and(|peers| peers.on_deadline(shared, director, deadline));
     }
 
-    /// Tells each that the turn is over.
+    /// Performs each component's work at the end of the turn.
     pub fn on_turn_end(&mut self, shared: &mut Shared) {
         self.viewers.on_turn_end(shared);
         self.streamers.on_turn_end(shared);
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,53 +1,55 @@
-//! A connection's socket with its buffers: partial reads and writes, bounded on both sides.
+//! A non-blocking TCP connection with its read and write buffers. Handles partial reads and writes; the bytes
+//! read per turn are bounded.
 use super::poll::{Poll, Registered, Token};
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
 
-/// Bytes read from one connection in one turn at most, so that none keeps the others waiting.
+/// Most bytes read from one connection per turn, so that no connection delays the others.
 const MAX_READ_PER_TURN: usize = 64 * 1024;
 
-/// What an idle buffer may keep.
+/// Most bytes of capacity that a drained buffer keeps.
 const IDLE_BUFFER_CAPACITY: usize = 4 * 1024;
 
-/// What reading brought.
+/// Result of reading from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Perhaps more bytes; the connection goes on.
+    /// The connection is still open; zero or more bytes were read.
     Open,
-    /// The peer has closed its side in order.
+    /// The peer has shut down its sending side.
     Eof,
 }
 
-/// A connection.
+/// A TCP connection that the event loop polls.
 pub struct Connection {
     socket: Registered<TcpStream>,
     read_buffer: Vec<u8>,
     write_buffer: Vec<u8>,
     written: usize,
-    /// Bytes ever added to what is to be written.
+    /// Total number of bytes queued for writing.
     queued_total: u64,
-    /// Bytes ever read.
+    /// Total number of bytes read.
     read_total: u64,
-    /// It is watched for what comes.
+    /// Whether it is polled for readability.
     read_interest: bool,
 }
 
 impl Connection {
-    /// Takes a connection that is up.
+    /// Wraps an established connection.
     pub fn accepted(poll: &mut Poll, stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         Connection::new(poll, stream, false)
     }
 
-    /// Begins to connect; readiness to write tells when that is over, [`Connection::connect_result`] how.
+    /// Begins to connect. The socket becomes writable once the attempt has ended;
+    /// [`Connection::connect_result`] then returns its result.
     pub fn connect(poll: &mut Poll, to: SocketAddr) -> io::Result<Self> {
         Connection::connect_from(poll, None, to)
     }
 
-    /// The same, from an address of this machine.
+    /// Begins to connect from a given local address.
     pub fn connect_from(poll: &mut Poll, from: Option<IpAddr>, to: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -77,7 +79,7 @@
         })
     }
 
-    /// How the connecting ended.
+    /// Returns the result of connecting.
     pub fn connect_result(&mut self) -> io::Result<()> {
         if let Some(why) = self.socket.source().take_error()? {
             return Err(why);
@@ -86,12 +88,12 @@
         self.socket.set_interest(true, false)
     }
 
-    /// Its token.
+    /// Returns its token.
     pub fn token(&self) -> Token {
         self.socket.token()
     }
 
-    /// Reads what has come.
+    /// Reads the available bytes into the buffer.
     pub fn read(&mut self) -> io::Result<ReadOutcome> {
         let mut chunk = [0; 16 * 1024];
         let mut total = 0;
@@ -111,8 +113,9 @@
         Ok(ReadOutcome::Open)
     }
 
-    /// Takes whole messages off what has been read, one at a time, with `parse`; also those ahead of what
-    /// can't be read, and why that can't.
+    /// Removes complete messages from the read buffer. `parse` returns the first message and its length.
+    ///
+    /// If `parse` fails, returns the messages before the malformed one together with the error.
     pub fn take_messages<M, E>(
         &mut self,
         parse: impl Fn(&[u8]) -> Result<Option<(M, usize)>, E>,
@@ -133,7 +136,7 @@
         (messages, error)
     }
 
-    /// Takes one whole message off what has been read, with `parse`; `None` where none is whole yet.
+    /// Removes one complete message from the read buffer. Returns `None` if none is complete yet.
     pub fn take_message<M, E>(
         &mut self,
         parse: impl FnOnce(&[u8]) -> Result<Option<(M, usize)>, E>,
@@ -144,39 +147,40 @@
         }))
     }
 
-    /// Drops what has been read.
+    /// Discards the read buffer.
     pub fn discard_read(&mut self) {
         self.read_buffer.clear();
         release_excess_capacity(&mut self.read_buffer);
     }
 
-    /// Bytes that have been read so far.
+    /// Returns the total number of bytes read so far.
     pub fn read_total(&self) -> u64 {
         self.read_total
     }
 
-    /// Whether part of a message has been read.
+    /// Returns whether part of a message has been read.
     pub fn has_partial_message(&self) -> bool {
         !self.read_buffer.is_empty()
     }
 
-    /// Adds bytes to what is to be written.
+    /// Appends bytes to the write buffer.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.write_buffer.extend_from_slice(bytes);
         self.queued_total += bytes.len() as u64;
     }
 
-    /// Bytes ever added to what is to be written; with [`Connection::written_total`] it tells what has left.
+    /// Returns the total number of bytes queued so far. Compared with [`Connection::written_total`], it tells
+    /// which messages have been written.
     pub fn queued_total(&self) -> u64 {
         self.queued_total
     }
 
-    /// Bytes that the machine has taken so far.
+    /// Returns the total number of bytes that the operating system has accepted so far.
     pub fn written_total(&self) -> u64 {
         self.queued_total - self.unwritten_len() as u64
     }
 
-    /// Takes back what was added last, if not a byte of it has been written.
+    /// Clears the write buffer if no byte of it has been written. Returns whether it did.
     pub fn unqueue(&mut self) -> bool {
         let unsent = !self.write_buffer.is_empty() && self.written == 0;
         if unsent {
@@ -186,23 +190,23 @@
         unsent
     }
 
-    /// Sets whether it is watched for what comes. Its break is told all the same.
+    /// Sets whether it is polled for readability. Connection errors are reported either way.
     pub fn set_read_interest(&mut self, interest: bool) -> io::Result<()> {
         self.read_interest = interest;
         self.socket.set_interest(interest, self.unwritten_len() > 0)
     }
 
-    /// Bytes that are still to be written.
+    /// Returns the number of bytes that are still to be written.
     pub fn unwritten_len(&self) -> usize {
         self.write_buffer.len() - self.written
     }
 
-    /// Ends this side in order; what the peer still sends can be read.
+    /// Shuts down the sending side. What the peer still sends can be read.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.socket.source().shutdown(Shutdown::Write)
     }
 
-    /// Writes as much as the socket takes; tells whether all is written.
+    /// Writes as much as the socket accepts. Returns whether the write buffer is empty.
     pub fn write(&mut self) -> io::Result<bool> {
         while self.written < self.write_buffer.len() {
             match self.socket.source().write(self.write_buffer.get(self.written..).unwrap_or_default()) {
@@ -224,7 +228,7 @@
     }
 }
 
-/// Gives back what a burst has left a buffer with.
+/// Releases the capacity that a burst has left in a buffer.
 fn release_excess_capacity(buffer: &mut Vec<u8>) {
     if buffer.capacity() > IDLE_BUFFER_CAPACITY && buffer.len() <= IDLE_BUFFER_CAPACITY {
         buffer.shrink_to(IDLE_BUFFER_CAPACITY);
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -1,4 +1,4 @@
-//! Why a director can't start or go on. It owns the words; it mends nothing.
+//! Errors that prevent a director from starting or continuing.
 use crate::interface::SettingsError;
 use crate::platform::config::ConfigError;
 use crate::settings::NameError;
@@ -6,45 +6,45 @@
 use std::net::SocketAddr;
 use stonewharf_operator::OperatorError;
 
-/// Why a director can't start or go on.
+/// An error that prevents a director from starting or continuing, or that makes a reload fail.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The configuration is of no use.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The settings in it are of no use.
+    /// The settings in the configuration are invalid.
     #[error("configuration: {0}")]
     Names(#[from] NameError),
-    /// The module refuses the settings.
+    /// The decision module rejects the settings.
     #[error("configuration: unusable settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     #[error("can't listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The socket that the platform handed down is of no use.
+    /// The listening socket inherited from the platform can't be used.
     #[error(
         "the clients' listening socket can't be taken over as descriptor {0}: {1}; check LB_INHERITED_FD"
     )]
     Inherited(i32, io::Error),
-    /// The machine refuses what the loop needs.
-    #[error("the loop can't go on: {0}")]
+    /// An operating system facility that the event loop needs failed.
+    #[error("the event loop can't continue: {0}")]
     Io(#[from] io::Error),
-    /// The operator file is of no use.
+    /// The operator file is invalid.
     #[error("operator file {0}")]
     Operator(#[from] OperatorError),
-    /// The fleet's settings can't be used here.
+    /// The settings of the fleet can't be used by this director.
     #[error("operator file, block fleet: {0}")]
     Fleet(String),
-    /// The configuration is another director's.
+    /// The configuration belongs to another director.
     #[error(
-        "configuration: it is that of director {0:?}, and nothing of it is taken over; \
-         give this director its own"
+        "configuration: it is that of director {0:?} and is not applied; \
+         give this director its own configuration"
     )]
     OtherDirector(String),
-    /// The configuration is another deployment's.
+    /// The configuration belongs to another deployment.
     #[error(
-        "configuration: its {0} are those of another deployment, and nothing of it is taken over; \
-         start the director anew to serve that one"
+        "configuration: its {0} are those of another deployment, and it is not applied; \
+         restart the director to serve that deployment"
     )]
     OtherDeployment(&'static str),
     /// The operator file can't be read.
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,5 +1,6 @@
-//! What the director's duty towards its clients means on the sockets: calls at the door, sending viewers
-//! away, and the end. What follows from what is decided in the core (`director::Lifecycle`).
+//! Applies the director's lifecycle to its sockets: admin calls, closing viewer connections, and shutdown.
+//!
+//! The lifecycle itself is decided in the core (`director::Lifecycle`).
 use super::poll::Token;
 use super::shared::Deadline;
 use super::{Node, estate, signals};
@@ -8,39 +9,40 @@
 use crate::platform::door::Call;
 use slog::{info, warn};
 
-/// The longest deadline that the grace period counts, and how long after it a platform may kill the process,
-/// both from its signal.
+/// Longest request deadline that the grace period allows for. It counts from the signal.
 const MAX_GRACE_DEADLINE_US: Micros = 3_000_000;
+/// How long after that deadline the platform may kill the process.
 const KILL_AFTER_DEADLINE_US: Micros = 700_000;
-/// How long before the earliest kill the process has left.
+/// How long before the earliest kill the process has exited.
 const EXIT_MARGIN_US: Micros = 60_000;
-/// How long clients have to end their connections after the grace period.
+/// How long clients have to close their connections after the grace period.
 const CLOSE_TIMEOUT_US: Micros = 150_000;
-/// How long the process stays after the grace period for clients that have not read their last answers. A
-/// platform that wants it gone sooner kills it.
+/// How long the process stays after the grace period for clients that have not read their last answers. If
+/// the platform needs it to exit sooner, it kills the process.
 const LAST_WRITES_TIMEOUT_US: Micros = 1_000_000;
 
-/// With the feature `planted` one in so many requests is read and dropped.
+/// With the feature `planted`, one request in this many is read and dropped; tests must find the loss.
 const PLANTED_LOSS_INTERVAL: u64 = 64;
 
-/// How far the process is on its way to its end.
+/// Progress of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownPhase {
-    /// Requests are served, in the grace period, too.
+    /// Requests are served. This includes the grace period.
     Serving,
-    /// The grace period ends with this turn: what is open is answered, and what was read with it refused.
+    /// The grace period ends with this turn: pending requests are answered, and requests read in it are
+    /// refused.
     FinalTurn,
-    /// What still comes is refused, and connections are ended in order.
+    /// Requests that still arrive are refused, and connections are shut down gracefully.
     Closing {
-        /// Since when.
+        /// When this phase began.
         since: Micros,
     },
-    /// The process leaves.
+    /// The process exits.
     Done,
 }
 
-/// How long requests are served after the signal was noticed, for the longest deadline of a deployment. The
-/// signal came up to [`signals::MAX_SIGNAL_LATENCY`] before.
+/// Returns how long requests are served after the stop signal was noticed, for the longest deadline of a
+/// deployment. The signal may have arrived up to [`signals::MAX_SIGNAL_LATENCY`] earlier.
 pub(super) fn grace_period_us(longest_deadline_us: Micros) -> Micros {
     let latency_us = signals::MAX_SIGNAL_LATENCY.as_micros() as Micros;
     longest_deadline_us.min(MAX_GRACE_DEADLINE_US) + KILL_AFTER_DEADLINE_US
@@ -48,7 +50,7 @@
 }
 
 impl Node {
-    /// Answers a call at the operators' door.
+    /// Answers a call at the admin interface.
     pub(super) fn handle_admin_call(&mut self, token: Token, call: Call) {
         let (status, body) = match call {
             Call::Ready if self.lifecycle.accepts_clients() => (200, "takes clients\n".to_owned()),
@@ -56,7 +58,11 @@
             Call::Vars => (200, self.render_metrics()),
             Call::LameDuck(on) => match self.lifecycle.set_lame_duck(self.shared.now, on) {
                 Ok(()) => {
-                    info!(self.shared.log, "{}", if on { "sends clients away" } else { "takes clients" });
+                    info!(
+                        self.shared.log,
+                        "{}",
+                        if on { "enters the lame-duck state" } else { "leaves the lame-duck state" }
+                    );
                     self.schedule_lifecycle_poll();
                     (200, "done\n".to_owned())
                 }
@@ -68,7 +74,7 @@
         }
     }
 
-    /// The figures as they are now.
+    /// Returns the current metrics as text.
     fn render_metrics(&self) -> String {
         let (listed, out_of_rotation) = self.director.streamer_counts();
         self.metrics.set_gauge("open_requests", self.director.open_requests());
@@ -77,7 +83,7 @@
         self.metrics.render()
     }
 
-    /// Begins the end: what comes through the grace time is still answered.
+    /// Begins the shutdown. Requests that arrive during the grace period are still answered.
     pub(super) fn begin_shutdown(&mut self) {
         if !self.lifecycle.stop(self.shared.now) {
             return;
@@ -93,7 +99,8 @@
         self.schedule_lifecycle_poll();
     }
 
-    /// Takes over what the process before this one left, before the first of its sessions is handed over.
+    /// Loads the rungs that the predecessor process recorded, before the first of its sessions is handed
+    /// over.
     pub(super) fn load_handover(&mut self) {
         let Some(place) =
             self.handover_file.as_ref().filter(|_| !std::mem::replace(&mut self.handover_loaded, true))
@@ -102,24 +109,26 @@
         };
         match estate::take(place) {
             Ok(rungs) => self.director.set_inherited_rungs(rungs),
-            Err(why) => warn!(self.shared.log, "nothing is taken over: {why}"),
+            Err(why) => warn!(self.shared.log, "the rungs of the previous process can't be loaded: {why}"),
         }
     }
 
+    /// Schedules the next lifecycle poll, if the state may change with time.
     fn schedule_lifecycle_poll(&mut self) {
         if let Some(after) = self.lifecycle.poll_interval() {
             self.shared.schedule(after, Deadline::LifecyclePoll);
         }
     }
 
-    /// Does what the duty asks about the viewers' connections, and looks again while it may change.
+    /// Closes the viewer connections that the lifecycle tells to close, and schedules the next poll while the
+    /// state may change.
     pub(super) fn poll_lifecycle(&mut self) {
         if self.phase != ShutdownPhase::Serving {
             return;
         }
         let ClientActions { close, expire_pending } = self.lifecycle.poll(self.shared.now);
         if expire_pending {
-            warn!(self.shared.log, "what is open is answered now, clients have to go");
+            warn!(self.shared.log, "pending requests are answered now, since clients have to disconnect");
             self.shared.inputs.push(Input::Hurry);
         }
         if close != CloseScope::None {
@@ -132,7 +141,7 @@
         self.schedule_lifecycle_poll();
     }
 
-    /// The grace period is over, or the time after it.
+    /// Advances to the next phase, since the grace period or the time for the last messages has ended.
     pub(super) fn end_phase(&mut self) {
         self.phase = match self.phase {
             ShutdownPhase::Serving | ShutdownPhase::FinalTurn => ShutdownPhase::FinalTurn,
@@ -140,8 +149,8 @@
         };
     }
 
-    /// Hands a turn's inputs to the core. As the grace period ends, answers that came in the same turn still
-    /// count, and requests are refused; so are those that come afterwards.
+    /// Passes a turn's inputs to the core. In the turn that ends the grace period, streamers' answers still
+    /// count and requests are refused. Requests that arrive later are refused as well.
     pub(super) fn run_core(&mut self, mut inputs: Vec<Input>) -> Vec<Output> {
         let now = self.shared.now;
         if cfg!(feature = "planted") {
@@ -163,13 +172,13 @@
         }
     }
 
-    /// Whether what stands is left to another process, and not released.
+    /// Returns whether established sessions are left to another process instead of being released.
     fn hands_over_sessions(&self) -> bool {
         self.lifecycle.hands_over_sessions() || self.has_heirs()
     }
 
-    /// Goes on with the end as a turn is over: answers what is open, ends the connections, and leaves when
-    /// none is left or the time is up.
+    /// Advances the shutdown at the end of a turn: answers pending requests, shuts down connections, and
+    /// finishes once none is left or the time limit has passed.
     pub(super) fn advance_shutdown(&mut self) {
         if self.phase == ShutdownPhase::FinalTurn {
             self.close_sessions();
@@ -183,14 +192,14 @@
         }
     }
 
-    /// The core closes all that is open. The process stays while answers and releases are not yet written and
-    /// connections not yet ended, for a bounded time.
+    /// Closes all requests and sessions in the core. The process stays for a bounded time until answers and
+    /// releases are written and connections are closed.
     fn close_sessions(&mut self) {
         self.phase = ShutdownPhase::Closing { since: self.shared.now };
         if let Some(place) = &self.handover_file
             && let Err(why) = estate::leave(place, &self.director.sessions_to_hand_over())
         {
-            warn!(self.shared.log, "nothing is left to the next process: {why}");
+            warn!(self.shared.log, "rungs can't be stored for the next process: {why}");
         }
         let outputs = self.director.close(self.hands_over_sessions());
         outputs.into_iter().for_each(|output| self.execute(output));
--- a/src/net/logging.rs
+++ b/src/net/logging.rs
@@ -1,19 +1,20 @@
-//! The program's log on standard error. Lines go through a bounded queue to a thread of their own: a slow or
-//! closed standard error loses lines and never holds the loop up.
+//! Logging to standard error. Lines pass through a bounded queue to a separate thread: if standard error is
+//! slow or closed, lines are lost and the event loop is never blocked.
 use slog::{Drain, Level, Logger, o};
 use std::io;
 use std::sync::mpsc;
 use std::thread;
 use std::time::Duration;
 
+/// Capacity of the queue, in lines.
 const QUEUE_LINES: usize = 1024;
-/// How long the last lines may take at the end.
+/// Longest time to wait at exit until the last lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Keeps the log's thread; see [`LogGuard::flush`].
+/// Owns the logging thread; see [`LogGuard::flush`].
 pub struct LogGuard(slog_async::AsyncGuard);
 
-/// How a line is written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
     /// For people: time, level, message, then keys and values.
@@ -23,7 +24,7 @@
     Json,
 }
 
-/// A logger for lines from a level on.
+/// Creates a logger for lines of the given level and above.
 pub fn to_stderr(level: Level, format: Format) -> (Logger, LogGuard) {
     match format {
         Format::Text => {
@@ -37,6 +38,7 @@
     }
 }
 
+/// Creates a logger that passes its lines to `lines` on a separate thread.
 fn async_logger<D>(lines: D, level: Level) -> (Logger, LogGuard)
 where
     D: Drain + Send + 'static,
@@ -50,7 +52,7 @@
 }
 
 impl LogGuard {
-    /// Waits until the last lines are out, but not for long.
+    /// Waits until the last lines are written, but only for a bounded time.
     pub fn flush(self) {
         let (done, finished) = mpsc::channel();
         let spawned = thread::Builder::new().spawn(move || {
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,5 +1,7 @@
-//! What viewers and the bulletin said, in the core's terms: names become numbers here, and what can't be used
-//! is said to be so. It decides nothing.
+//! Converts messages from viewers and discovery to inputs for the core.
+//!
+//! Names are converted to numeric ids here, and unusable messages are reported as such. No decisions are made
+//! here.
 use super::Node;
 use crate::director::{Input, Parcel, ViewerLink};
 use crate::interface::{Entry, ListScope, RequestId, Standing, StreamerId};
@@ -12,12 +14,15 @@
 use stonewharf_continuity::Stub;
 use stonewharf_rollout::SharedDrains;
 
-/// Times the longest deadline that a viewer's own may be, so that none is kept for ever.
+/// The deadline that a viewer requests is limited to the longest configured deadline times this factor, so
+/// that no request is kept forever.
 const MAX_DEADLINE_FACTOR: u64 = 10;
-/// A streamer that started no longer ago, as the list says, runs nothing of what was out there before.
+/// A streamer whose start, according to the list, is at most this long ago counts as restarted: no earlier
+/// session runs on it any more.
 const RECENT_START_MS: u64 = 5_000;
 
 impl Node {
+    /// Processes a message from a viewer connection.
     pub(super) fn handle_viewer_message(&mut self, link: ViewerLink, message: FromViewer) {
         self.components.peers.iter_mut().for_each(|peers| peers.serves(self.shared.now));
         match message {
@@ -28,13 +33,14 @@
                 self.components.viewers.say(&mut self.shared, link, &result);
             }
             FromViewer::Unusable(id, why) => {
-                debug!(self.shared.log, "a set-up can't be used: {why}");
+                debug!(self.shared.log, "unusable set-up request: {why}");
                 self.shared.inputs.push(Input::Unusable(link, id));
             }
             FromViewer::Idle => {}
         }
     }
 
+    /// Converts a set-up request to an input for the core.
     fn handle_set_up(&mut self, link: ViewerLink, set_up: SetUp) {
         let id = RequestId(set_up.session);
         let class = self.names.class(&set_up.class);
@@ -58,7 +64,7 @@
             match self.names.check_ranges(&named_request).and_then(|()| self.names.request(&named_request)) {
                 Ok(request) => request,
                 Err(why) => {
-                    debug!(self.shared.log, "a set-up can't be used: {why}");
+                    debug!(self.shared.log, "unusable set-up request: {why}");
                     return self.shared.inputs.push(Input::Unusable(link, id));
                 }
             };
@@ -88,12 +94,14 @@
         });
     }
 
+    /// Applies an update of the streamer list. `known` marks one from the start-up configuration and not from
+    /// discovery.
     pub(super) fn handle_notice(&mut self, notice: &Notice, known: bool) {
         let Some(roster) = &notice.roster else { return };
         let Members { mut entries, errors } = roster.members(&mut self.names);
         for why in errors {
             self.shared.counters.malformed += 1;
-            warn!(self.shared.log, "in the list of streamers: {why}"; "no" => notice.no);
+            warn!(self.shared.log, "invalid entry in the streamer list: {why}"; "no" => notice.no);
         }
         let scope = match roster.scope() {
             ListScope::Full if known => ListScope::Cached,
@@ -117,7 +125,8 @@
         self.shared.inputs.push(Input::List { scope, entries });
     }
 
-    /// Lets the agreed drains see the list's news first: they may only narrow it.
+    /// Applies the drains that the fleet agreed on to an update of the streamer list. They may only restrict
+    /// it.
     fn apply_drains(&self, drains: &SharedDrains, scope: ListScope, entries: &mut [(Entry, SocketAddr)]) {
         let name = |e: &Entry| {
             let name = self.names.streamers.resolve(e.streamer.0).unwrap_or_default().to_owned();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,7 @@
-//! The loop: one thread, one poller. Each turn gathers what is ready, hands it to the core in one go, and
-//! carries out what came back. It decides nothing.
+//! The director's event loop: one thread and one poller.
+//!
+//! Each turn collects what is ready (sockets, signals, deadlines), passes it to the core as one batch of
+//! inputs, and executes the outputs that the core returns. The loop makes no decisions of its own.
 mod agreed;
 mod bulletin;
 mod clock;
@@ -47,10 +49,10 @@
 use std::time::Duration;
 use stonewharf_halls::SharedHalls;
 
-/// Rounds of core and transport in one turn; what is left then is taken up in the next.
+/// Rounds of core and transport processing in one turn. Inputs that remain are processed in the next turn.
 const MAX_ROUNDS_PER_TURN: usize = 16;
 
-/// One director on its sockets.
+/// One director with its sockets.
 pub struct Node {
     clock: Clock,
     director: Director,
@@ -59,44 +61,49 @@
     shared: Shared,
     signals: Signals,
     components: Components,
-    /// What the fleet agrees on, where it does.
+    /// The replicated log that the fleet agrees on, if enabled.
     agreement: Option<Agreed>,
-    /// The configuration's file, where it came from one, and what is in force of it.
+    /// The configuration file, if the configuration was read from one.
     config_file: Option<PathBuf>,
     name: String,
+    /// The settings in force, to detect changes at a reload.
     raw_settings: RawSettings,
-    /// The operator file and what it set, where one is used.
+    /// The operator file and the hall limits that it configures, if one is used.
     operator: Option<(PathBuf, SharedHalls)>,
     stop_requested: bool,
     lifecycle: Lifecycle,
     metrics: MetricsRegistry,
-    /// Where processes of this director leave what stands to the next one, where the platform replaces them.
+    /// File through which a process of this director hands the rungs of its established sessions to its
+    /// successor, if the platform replaces processes.
     handover_file: Option<PathBuf>,
-    /// What the one before left has been taken over.
+    /// Whether the predecessor's handover file has been read.
     handover_loaded: bool,
     phase: ShutdownPhase,
-    /// Whether every input and deed is logged, at the level `trace`.
+    /// Whether inputs and outputs are logged at the level `trace`.
     tracing: bool,
 }
 
 impl Node {
-    /// Where it listens.
+    /// Returns the address on which viewers connect.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.components.viewers.address()
     }
 
-    /// What has been counted so far, by the core and by the transport.
+    /// Returns the counters of the core and the transport.
     pub fn counters(&self) -> &Counters {
         &self.shared.counters
     }
 
-    /// Logs every input to the core and every deed out of it, but the list's news and the core's own timers.
-    /// Costs a line for each: for following one request by its id, not for a long day.
+    /// Enables or disables logging of every input to the core and every output from it, except updates of the
+    /// streamer list and the core's own timers.
+    ///
+    /// Each costs one line, so this is meant for following a single request by its id and not for permanent
+    /// use.
     pub fn set_tracing(&mut self, on: bool) {
         self.tracing = on;
     }
 
-    /// Serves until SIGTERM and the grace time after it.
+    /// Serves until SIGTERM and through the grace period after it.
     pub fn run(&mut self) -> Result<(), NodeError> {
         info!(self.shared.log, "serves"; "at" => %self.local_addr()?);
         while self.phase != ShutdownPhase::Done {
@@ -106,7 +113,7 @@
         Ok(())
     }
 
-    /// One turn of the loop; waits for something to do, at most as long as said.
+    /// Runs one turn of the loop. Waits until there is something to do, but for at most `max_wait`.
     pub fn turn(&mut self, max_wait: Option<Duration>) -> Result<(), NodeError> {
         let next = self.shared.deadlines.next_due();
         let until_deadline = next.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
@@ -163,7 +170,7 @@
         Ok(())
     }
 
-    /// Takes in what the parts have heard.
+    /// Processes the events that the components have queued.
     fn process_events(&mut self) {
         for event in std::mem::take(&mut self.shared.events) {
             match event {
@@ -185,20 +192,20 @@
         }
     }
 
-    /// It was told to end: at once, or when it has a permit, where the fleet agrees on those. Told a second
-    /// time it waits for none.
+    /// Handles a request to stop: begins the shutdown at once, or, if the fleet grants permits for it,
+    /// requests a permit first. A second request does not wait for a permit.
     fn request_stop(&mut self) {
         let waits_for_permit =
             self.agreement.as_mut().is_some_and(|agreement| agreement.told_to_end(&self.shared));
         if waits_for_permit && !std::mem::replace(&mut self.stop_requested, true) {
-            return info!(self.shared.log, "asked to end, asks for a permit"; "at_us" => self.shared.now);
+            return info!(self.shared.log, "asked to end; requests a permit"; "at_us" => self.shared.now);
         }
         self.begin_shutdown();
     }
 
     fn on_deadline(&mut self, deadline: Deadline) {
         match deadline {
-            Deadline::Agreement | Deadline::Closing => {} // looked at as the turn ends
+            Deadline::Agreement | Deadline::Closing => {} // handled at the end of the turn
             Deadline::Core(due) => self.shared.inputs.push(Input::Due(due)),
             Deadline::LifecyclePoll => self.poll_lifecycle(),
             Deadline::PhaseEnd => self.end_phase(),
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -1,6 +1,8 @@
-//! The one place with unsafe code: `polling` leaves it to its caller that a source is taken out of the
-//! poller before it is closed. [`Registered`] owns both sides and sees to that. A descriptor that the
-//! platform hands down is taken over here, too; the rest of the crate is safe.
+//! The poller of the event loop, and the only module with unsafe code.
+//!
+//! `polling` requires its caller to remove a source from the poller before closing it. [`Registered`] owns
+//! the source and a reference to the poller, and guarantees this. A descriptor inherited from the platform is
+//! also taken over here. The rest of the crate is safe code.
 #![allow(unsafe_code)]
 use polling::{Event, Events, PollMode, Poller};
 use std::io;
@@ -10,10 +12,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Names a watched source; never given out twice.
+/// Identifies a registered source. Never reused.
 pub type Token = usize;
 
-/// The poller of the loop.
+/// The poller of the event loop.
 pub struct Poll {
     poller: Arc<Poller>,
     events: Events,
@@ -21,17 +23,18 @@
 }
 
 impl Poll {
-    /// A poller that watches nothing yet.
+    /// Creates a poller without sources.
     pub fn new() -> io::Result<Self> {
         Ok(Poll { poller: Arc::new(Poller::new()?), events: Events::new(), last_token: 0 })
     }
 
-    /// Watches a source for readiness to read and, where wanted, to write, until it is dropped.
+    /// Polls a source for readability and, if `writable`, for writability until it is dropped.
     pub fn register<S: AsFd>(&mut self, source: S, writable: bool) -> io::Result<Registered<S>> {
         self.last_token += 1;
         let token = self.last_token;
-        // SAFETY: `Registered` owns the source, never gives it away or replaces it, and takes it out of the
-        // poller when dropped, before the source itself is closed; the poller lives as long, by its `Arc`.
+        // SAFETY: `Registered` owns the source, never gives it away or replaces it, and removes it from the
+        // poller when dropped, before the source itself is closed. Its `Arc` keeps the poller alive until
+        // then.
         unsafe {
             let interest = Event::new(token, true, writable);
             self.poller.add_with_mode(&source.as_fd(), interest, PollMode::Level)?;
@@ -39,12 +42,13 @@
         Ok(Registered { source, poller: Arc::clone(&self.poller), token, writable, readable: true })
     }
 
-    /// What wakes the loop from another thread.
+    /// Returns a handle that wakes the event loop from another thread.
     pub fn waker(&self) -> Waker {
         Waker(Arc::clone(&self.poller))
     }
 
-    /// Waits until something is ready, at most `most`, and returns what: token, readable, writable.
+    /// Waits until a source is ready, but for at most `timeout`. Returns token, readability and writability
+    /// of each ready source.
     pub fn wait(&mut self, timeout: Option<Duration>) -> io::Result<Vec<(Token, bool, bool)>> {
         self.events.clear();
         match self.poller.wait(&mut self.events, timeout) {
@@ -55,37 +59,42 @@
     }
 }
 
-/// Takes over a listening socket that the platform opened and hands down by number; once in a process, since
-/// two owners would close it twice. An error where it is none.
+/// Takes over a listening socket that the platform opened and passes down by descriptor number.
+///
+/// This succeeds only once per process, since two owners would close the descriptor twice. Fails if it is not
+/// a listening socket.
 pub fn inherit_listener(fd: RawFd) -> io::Result<TcpListener> {
     static INHERITED: AtomicBool = AtomicBool::new(false);
     if fd <= 2 || INHERITED.swap(true, Ordering::AcqRel) {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "it can't be taken over"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "it is a standard stream or has been taken over already",
+        ));
     }
-    // SAFETY: the platform leaves this descriptor to the process for good, nothing else here knows its number
-    // (the standard streams are excluded above), and it is taken over only once.
+    // SAFETY: the platform gives this descriptor to the process permanently, nothing else in the process uses
+    // its number (the standard streams are excluded above), and it is taken over only once.
     let listener = unsafe { TcpListener::from_raw_fd(fd) };
     match socket2::SockRef::from(&listener).is_listener() {
         Ok(true) => Ok(listener),
-        Ok(false) => Err(io::Error::new(io::ErrorKind::InvalidInput, "it does not listen")),
+        Ok(false) => Err(io::Error::new(io::ErrorKind::InvalidInput, "it is not a listening socket")),
         Err(why) => {
-            let _ = std::os::fd::IntoRawFd::into_raw_fd(listener); // not ours: left open
+            let _ = std::os::fd::IntoRawFd::into_raw_fd(listener); // not owned by this process: left open
             Err(why)
         }
     }
 }
 
-/// Wakes the loop from another thread.
+/// Wakes the event loop from another thread.
 pub struct Waker(Arc<Poller>);
 
 impl Waker {
-    /// The next wait, or the one under way, ends at once.
+    /// Makes the current or next wait return at once.
     pub fn wake(&self) {
-        let _ = self.0.notify(); // the loop wakes by itself a little later
+        let _ = self.0.notify(); // on failure the loop still wakes by itself a little later
     }
 }
 
-/// A source that the poller watches for as long as this lives.
+/// A source that stays registered with the poller until this is dropped.
 pub struct Registered<S: AsFd> {
     source: S,
     poller: Arc<Poller>,
@@ -95,17 +104,17 @@
 }
 
 impl<S: AsFd> Registered<S> {
-    /// Its token.
+    /// Returns its token.
     pub fn token(&self) -> Token {
         self.token
     }
 
-    /// The source.
+    /// Returns the source.
     pub fn source(&self) -> &S {
         &self.source
     }
 
-    /// Sets what it is watched for.
+    /// Sets the readiness that it is polled for.
     pub fn set_interest(&mut self, readable: bool, writable: bool) -> io::Result<()> {
         if (readable, writable) == (self.readable, self.writable) {
             return Ok(());
@@ -118,6 +127,6 @@
 
 impl<S: AsFd> Drop for Registered<S> {
     fn drop(&mut self) {
-        let _ = self.poller.delete(self.source.as_fd()); // it may have failed already; then nothing is left
+        let _ = self.poller.delete(self.source.as_fd()); // fails only if it is gone already
     }
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,4 +1,5 @@
-//! SIGHUP: the configuration and the operator file are read again, and taken over whole or not at all.
+//! Reloading on SIGHUP: the configuration and the operator file are read again and applied completely or not
+//! at all.
 use super::{Node, NodeError, read_operator_file, settings_digest, startup};
 use crate::director::Director;
 use crate::platform::config::{Config, ConfigError};
@@ -6,15 +7,17 @@
 use slog::{info, warn};
 use stonewharf_operator::Operator;
 
-/// What a reload read and found usable.
+/// The files that a reload has read and checked.
 struct LoadedFiles {
     config: Config,
     operator: Option<Operator>,
 }
 
 impl Node {
-    /// Reads the files again and takes over what can change under way: where the bulletin is, and the halls.
-    /// What could not be started with, or is another deployment's, changes nothing.
+    /// Reads the files again and applies what can change while serving: the address of discovery, and the
+    /// settings of the halls and the rollout budgets in the operator file.
+    ///
+    /// Files with which the director could not start, or that belong to another deployment, change nothing.
     pub(super) fn reload(&mut self) {
         match self.load_files() {
             Ok(files) => self.apply_files(files),
@@ -22,7 +25,7 @@
         }
     }
 
-    /// Reads and checks all of it, as at a start.
+    /// Reads and checks the files in the same way as at startup.
     fn load_files(&self) -> Result<LoadedFiles, NodeError> {
         let config = Config::from_file(self.config_file.as_deref().ok_or(ConfigError::Unnamed)?)?;
         if config.name != self.name {
@@ -38,6 +41,7 @@
         Ok(LoadedFiles { config, operator })
     }
 
+    /// Applies the files that were read.
     fn apply_files(&mut self, files: LoadedFiles) {
         self.shared.counters.reloads += 1;
         if let (Some(operator), Some((_, halls))) = (files.operator, &self.operator) {
@@ -54,7 +58,10 @@
         }
         info!(self.shared.log, "the configuration was read again");
         if files.config.settings != self.raw_settings {
-            warn!(self.shared.log, "its settings differ from those in force and hold from the next start");
+            warn!(
+                self.shared.log,
+                "the configuration's settings have changed and take effect at the next start"
+            );
         }
         self.components.discovery.follow(&mut self.shared, files.config.bulletin);
     }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of the loop work with in a turn.
+//! State that all components of the event loop share: poller, deadlines, queued inputs and events, counters.
 use super::hand::Leave;
 use super::poll::{Poll, Token};
 use crate::director::{self, Attempt, Counters, Deadlines, Input, ViewerLink};
@@ -8,81 +8,82 @@
 use crate::platform::viewer::FromViewer;
 use slog::Logger;
 
-/// Every deadline of the program, the core's among them.
+/// Kinds of deadline, including the core's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Deadline {
-    /// The core's own.
+    /// A deadline that the core set.
     Core(director::DeadlineKind),
-    /// A connection to a streamer must be up by now.
+    /// Time limit for establishing a connection to a streamer.
     Connect(Token),
-    /// A load test must be answered by now.
+    /// Time limit for the answer to a load probe.
     Probe(Token, RequestId),
-    /// A give-up must be written by now.
+    /// Time limit for writing the cancellation of an attempt.
     Cancel(Token, Attempt),
-    /// Look after the connections to streamers.
+    /// Check the connections to streamers.
     CheckStreamers,
-    /// Look after the bulletin.
+    /// Check the connection to discovery.
     Discovery,
-    /// Look after a connection from viewers.
+    /// Check a viewer connection.
     ViewerConnection(Token),
-    /// Take connections again.
+    /// Resume accepting viewer connections.
     ResumeAccept,
-    /// Look after a connection at the operators' door.
+    /// Resume accepting connections at the admin interface, or close one of them.
     AdminConnection(Token),
-    /// Look after viewers that are being sent away.
+    /// Poll the lifecycle, which tells which viewer connections to close.
     LifecyclePoll,
-    /// The fleet has something to do.
+    /// The fleet membership has work to do.
     Fleet,
-    /// The agreed log has something to do.
+    /// The replicated log has work to do.
     Agreement,
-    /// Look after a link to a peer.
+    /// Check a connection to a peer.
     PeerConnection(Token),
-    /// The grace period after SIGTERM is over, or the time for the last messages after it.
+    /// The grace period after SIGTERM has ended, or the time for the last messages after it.
     PhaseEnd,
-    /// The time for clients to end their connections after the grace period is over.
+    /// The time for clients to close their connections after the grace period has ended.
     Closing,
 }
 
-/// What a part heard that needs names or settings before the core can hear it.
+/// An event from a component that needs names or settings before it can become an input for the core.
 pub enum Event {
-    /// A message from viewers.
+    /// A message on a viewer connection.
     ViewerMessage(ViewerLink, FromViewer),
-    /// A connection that its viewer has closed, behind its last message.
+    /// A connection was closed by its viewer. Queued after the last message on it.
     ViewerClosed(Token),
-    /// An event of the bulletin.
+    /// An event from discovery.
     Discovery(Notice),
-    /// A call at the operators' door.
+    /// A call at the admin interface.
     AdminCall(Token, Call),
 }
 
-/// The loop's tools, and what it has gathered for the core.
+/// State that the components share, and the inputs and events that they have queued.
 pub struct Shared {
-    /// The poller.
+    /// The poller of the event loop.
     pub poll: Poll,
     /// All deadlines.
     pub deadlines: Deadlines<Deadline>,
-    /// What the core is to hear this turn.
+    /// Inputs for the core in this turn.
     pub inputs: Vec<Input>,
-    /// What has been heard and not yet taken in, in order.
+    /// Events that have not been processed yet, in order.
     pub events: Vec<Event>,
-    /// What is counted, by the core and by the transport.
+    /// Counters of the core and the transport.
     pub counters: Counters,
-    /// The program's log.
+    /// The log.
     pub log: Logger,
     /// The time of this turn.
     pub now: Micros,
-    /// What is asked, as bytes go out, of sessions that may be another director's by then; none where
-    /// sessions end with their director.
+    /// Checks, at the moment bytes are written, whether a session still belongs to this director or already
+    /// to another one. `None` if sessions end with their director.
     pub ownership: Option<Leave>,
 }
 
 impl Shared {
-    /// Whether what this director does to a session by its own will may go out now.
+    /// Returns whether a message that this director sends about a session on its own initiative may be
+    /// written now.
     pub fn may_act(&self, session: RequestId) -> bool {
         self.ownership.as_ref().is_none_or(|leave| leave.may_act(session))
     }
 
-    /// Sets a deadline from now.
+    /// Sets a deadline that passes `after` from now.
     pub fn schedule(&mut self, after: Micros, deadline: Deadline) {
         self.deadlines.set(self.now.saturating_add(after), deadline);
     }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,37 +1,36 @@
-//! Signals as flags that the loop reads after each wait. It owns the handlers and the flags; it never wakes
-//! the loop itself.
+//! Signal handlers that set flags, which the event loop reads after each wait. They do not wake the loop.
 //!
-//! Why flags and no descriptor: the platforms we run on may refuse Unix sockets (a socket pair was used here
-//! before) and give no promise on pipes or event descriptors, while a flag set by a handler needs nothing of
-//! the machine. A signal interrupts the wait where the machine allows that; where it does not, the loop waits
-//! at most [`MAX_SIGNAL_LATENCY`] and sees the flag then.
+//! Flags are used and no descriptor because the platforms may refuse Unix sockets, such as a socket pair, and
+//! do not guarantee pipes or event descriptors, while a flag set by a handler needs no resource. A signal
+//! interrupts the wait where the operating system allows it; elsewhere the loop sees the flag after at most
+//! [`MAX_SIGNAL_LATENCY`].
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1, SIGXFSZ};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The longest time from a signal to the loop acting on it: the loop never waits longer than this.
+/// Longest time from a signal until the event loop handles it. The loop never waits longer than this.
 pub const MAX_SIGNAL_LATENCY: Duration = Duration::from_millis(25);
 
-/// What a signal asks for.
+/// What a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
-    /// Come to an end in good order (SIGTERM, SIGINT).
+    /// Graceful shutdown (SIGTERM, SIGINT).
     Stop,
-    /// Read the configuration again (SIGHUP).
+    /// Reload the configuration (SIGHUP).
     Reload,
-    /// Print the counters (SIGUSR1).
+    /// Log the counters (SIGUSR1).
     LogCounters,
 }
 
-/// The signals that the program handles, each with the flag its handler sets.
+/// The installed signal handlers, with the flags that they set.
 pub struct Signals {
     flags: Vec<(Arc<AtomicBool>, SignalRequest)>,
 }
 
 impl Signals {
-    /// Takes the signals over. SIGTERM and SIGINT share one flag.
+    /// Installs the handlers. SIGTERM and SIGINT share one flag.
     pub fn install() -> io::Result<Self> {
         let (stop, reload, counters) = Default::default();
         let flags: Vec<(Arc<AtomicBool>, SignalRequest)> = vec![
@@ -46,13 +45,13 @@
         Ok(Signals { flags })
     }
 
-    /// A file that can't grow is an error of the write that met it, not the end of the process. Taken only
-    /// where a folder is in use.
+    /// Makes a write beyond the file size limit fail with an error instead of ending the process (SIGXFSZ).
+    /// Used only if the director stores data in a folder.
     pub fn handle_file_size_limit() -> io::Result<()> {
         signal_hook::flag::register(SIGXFSZ, Arc::default()).map(|_| ())
     }
 
-    /// What was asked since the last call, each kind once, in the order End, Reload, Counters.
+    /// Returns the requests since the last call, each kind once, in the order Stop, Reload, LogCounters.
     pub fn take_pending(&self) -> impl Iterator<Item = SignalRequest> + '_ {
         self.flags.iter().filter(|(flag, _)| flag.swap(false, Ordering::AcqRel)).map(|(_, request)| *request)
     }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,5 +1,4 @@
-//! How a director begins: its files read and checked, its parts made, all before the first turn. It owns
-//! nothing afterwards.
+//! Creates a director: reads and checks its files and creates its components, all before the first turn.
 use super::agreed::Agreed;
 use super::bulletin::Bulletin;
 use super::clock::Clock;
@@ -27,10 +26,11 @@
 use stonewharf_operator::{Known, Operator};
 use stonewharf_rollout::{Drains, SharedDrains};
 
-/// Descriptors that are neither viewers' nor streamers': standard streams, poller, timer, bulletin, spare.
+/// Descriptors reserved for uses other than viewer and streamer connections: standard streams, poller, timer,
+/// discovery and some spare.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Reads the operator file; with the names of a deployment, for that one.
+/// Reads and checks the operator file. With `names`, the names in it are checked against the deployment's.
 pub fn read_operator_file(file: &Path, names: Option<&NameRegistry>) -> Result<Operator, NodeError> {
     let name = file.display().to_string();
     let bytes = std::fs::read(file).map_err(|why| NodeError::OperatorUnreadable(name.clone(), why))?;
@@ -39,7 +39,7 @@
     Ok(Operator::parse_for(&name, &String::from_utf8_lossy(&bytes), &known)?)
 }
 
-/// Digest of the operator file's settings in force, but for what belongs to one machine.
+/// Returns the digest of the effective settings of the operator file, without those specific to one machine.
 pub fn settings_digest(operator: &Operator) -> u64 {
     let fleet = operator.fleet.as_ref();
     let shared =
@@ -48,7 +48,7 @@
     stonewharf_fleet::digest(shared.effective().as_bytes())
 }
 
-/// The fleet as one director begins with it, where its block is there and on.
+/// Creates the fleet membership of this director.
 fn create_fleet(
     settings: &FleetSettings,
     config: &Config,
@@ -61,7 +61,10 @@
         Signals::handle_file_size_limit()?;
     }
     let incarnation = lives::next(folder, now).map_err(|why| {
-        NodeError::Fleet(format!("folder {:?} can't keep this life's number: {why}", settings.folder))
+        NodeError::Fleet(format!(
+            "folder {:?} can't store this director's incarnation number: {why}",
+            settings.folder
+        ))
     })?;
     let name = if settings.name.is_empty() { config.name.clone() } else { settings.name.clone() };
     let me =
@@ -69,7 +72,8 @@
     Fleet::new(settings, me, config.seed()?, now).map_err(|why| NodeError::Fleet(why.to_string()))
 }
 
-/// This director's part in sessions that outlive their director, where that is on.
+/// Creates this director's side of session continuity, which lets sessions outlive their director, if
+/// enabled.
 fn create_hand(
     settings: &Settings,
     names: &NameRegistry,
@@ -83,24 +87,24 @@
     Some(SharedHand::new(Hand::new(continuity?, settings, names.classes(), me, now)))
 }
 
-/// The settings of the halls; a block that is absent is off, and may come by a reload.
+/// Returns the settings of the halls. An absent block is disabled; a reload may add it.
 pub(super) fn hall_settings(operator: Operator) -> HallSettings {
     operator.halls.unwrap_or(HallSettings { enabled: false, ..HallSettings::default() })
 }
 
 impl Node {
-    /// A director as configured; listens from here on.
+    /// Creates a director without an operator file. It listens from here on.
     pub fn new(config: &Config, log: Logger) -> Result<Self, NodeError> {
         Node::with_operator(config, None, log)
     }
 
-    /// A director as configured, with the operator file that sets our own subsystems.
+    /// Creates a director with an operator file, which configures this project's own subsystems.
     pub fn with_operator(config: &Config, file: Option<&Path>, log: Logger) -> Result<Self, NodeError> {
         Node::with_signals(config, file, Signals::install()?, log)
     }
 
-    /// The same with signals that were taken before the files were read: one that comes in the middle of a
-    /// start is followed as soon as the director serves.
+    /// Creates a director with signal handlers that were installed before the files were read: a signal that
+    /// arrives during startup is handled as soon as the director serves.
     pub fn with_signals(
         config: &Config,
         file: Option<&Path>,
@@ -185,7 +189,7 @@
         let admin = match config.admin_addr {
             Some(at) => {
                 let admin = viewers::listen(at).and_then(|listener| {
-                    info!(shared.log, "operators call"; "at" => %listener.local_addr()?);
+                    info!(shared.log, "admin interface listens"; "at" => %listener.local_addr()?);
                     Door::on(&mut shared, listener)
                 });
                 Some(admin.map_err(|why| NodeError::Listen(at, why))?)
--- a/src/net/trace.rs
+++ b/src/net/trace.rs
@@ -1,26 +1,28 @@
-//! Lines of the level `trace`: every input to the core and every deed out of it, in a brief form that keeps
-//! the ids and figures and leaves the descriptions out (their bytes made a line ten times as long, and a
-//! day's trace heavy enough to change the timing it was to show). Also the lines that name requests which end
-//! without an answer. Decides nothing.
+//! Log lines of the level `trace` for every input to the core and every output from it.
+//!
+//! The lines contain ids and numbers but no session descriptions: their bytes made a line ten times as long,
+//! and a day's trace heavy enough to change the timing that it was to show. This module also logs requests
+//! that end without an answer.
 use super::Node;
 use crate::director::{Input, Output, SetUp};
 use slog::debug;
 
 impl Node {
-    /// Tells of connections that are gone with requests open on them.
+    /// Logs connections that were lost while requests were pending on them.
     pub(super) fn log_lost_requests(&self, inputs: &[Input]) {
         for input in inputs {
             if let Input::LinkLost(link) = input
                 && let (open @ 1.., _) = self.director.requests_and_sessions_on(*link)
             {
-                debug!(self.shared.log, "requests are given up with their connection";
+                debug!(self.shared.log, "requests are cancelled because their connection was lost";
                     "at_us" => self.shared.now, "connection" => link.0, "requests" => open);
             }
         }
     }
 }
 
-/// An input, briefly; `None` for the list's news and the core's own timers, which are not traced.
+/// Describes an input briefly. Returns `None` for updates of the streamer list and the core's own timers,
+/// which are not traced.
 pub fn describe_input(input: &Input) -> Option<String> {
     Some(match input {
         Input::List { .. } | Input::Due(_) => return None,
@@ -40,7 +42,7 @@
     })
 }
 
-/// A deed, briefly; `None` for wake-ups and the module's own lines, which are not traced.
+/// Describes an output briefly. Returns `None` for deadlines and log lines of the core, which are not traced.
 pub fn describe_output(output: &Output) -> Option<String> {
     Some(match output {
         Output::Wake(..) | Output::Log(_) => return None,
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -254,7 +254,7 @@
         }
         let mut child = command.spawn().expect("started");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
-        let admin = admin.then(|| parse_address(&next_line(&mut log, "operators call")));
+        let admin = admin.then(|| parse_address(&next_line(&mut log, "admin interface listens")));
         let address = parse_address(&next_line(&mut log, "serves"));
         Rig { child, address, admin, log, streamer, discovery, folder }
     }
