--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -14,11 +14,11 @@
 /// A set-up that crosses a close by no more than this is sent again by its client.
 const CROSSING: Duration = Duration::from_millis(50);
 /// Well inside every grace period, and well after it.
-const BEFORE_THE_END: Duration = Duration::from_millis(800);
-const AFTER_THE_END: Duration = Duration::from_millis(1_350);
+const WITHIN_GRACE: Duration = Duration::from_millis(800);
+const AFTER_GRACE: Duration = Duration::from_millis(1_350);
 
 /// A session that stands, so that its connection is kept until the end.
-fn standing(rig: &Rig, id: u64) -> (TcpStream, TcpStream) {
+fn established_session(rig: &Rig, id: u64) -> (TcpStream, TcpStream) {
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(id, "replay")).expect("written");
     let mut streamer = rig.streamer();
@@ -29,7 +29,7 @@
 }
 
 /// Sends SIGTERM and waits until the director has noticed it.
-fn told_to_end(rig: &mut Rig) -> Instant {
+fn send_sigterm(rig: &mut Rig) -> Instant {
     rig.signal("-TERM");
     next_line(&mut rig.log, "asked to end");
     Instant::now()
@@ -42,8 +42,8 @@
 /// The final answer to a request; other sessions' ends on the same connection are passed over.
 fn final_answer(viewer: &mut TcpStream, id: u64) -> u8 {
     loop {
-        let (kind, of, _) = read_message(viewer);
-        if of == id {
+        let (kind, session, _) = read_message(viewer);
+        if session == id {
             return kind;
         }
     }
@@ -52,12 +52,12 @@
 #[test]
 fn a_request_read_in_the_turn_that_ends_the_grace_period_is_answered() {
     let mut rig = Rig::start();
-    let (mut viewer, _streamer) = standing(&rig, 0x101);
-    let noticed = told_to_end(&mut rig);
-    sleep_until(noticed + BEFORE_THE_END);
+    let (mut viewer, _streamer) = established_session(&rig, 0x101);
+    let noticed = send_sigterm(&mut rig);
+    sleep_until(noticed + WITHIN_GRACE);
     rig.suspend();
     viewer.write_all(&set_up(0x102, "seat-view")).expect("written");
-    sleep_until(noticed + AFTER_THE_END);
+    sleep_until(noticed + AFTER_GRACE);
     rig.resume();
     assert_eq!(final_answer(&mut viewer, 0x102), 12, "refused or failed, but answered");
     next_line(&mut rig.log, "ended");
@@ -66,15 +66,15 @@
 #[test]
 fn a_connection_waiting_to_be_accepted_as_the_grace_period_ends_is_answered() {
     let mut rig = Rig::start();
-    let _session = standing(&rig, 0x111);
-    let noticed = told_to_end(&mut rig);
-    sleep_until(noticed + BEFORE_THE_END);
+    let _session = established_session(&rig, 0x111);
+    let noticed = send_sigterm(&mut rig);
+    sleep_until(noticed + WITHIN_GRACE);
     rig.suspend();
     let mut viewers: Vec<TcpStream> = (0..20).map(|_| rig.viewer()).collect();
     for (id, viewer) in (0x112..).zip(&mut viewers) {
         viewer.write_all(&set_up(id, "seat-view")).expect("written");
     }
-    sleep_until(noticed + AFTER_THE_END);
+    sleep_until(noticed + AFTER_GRACE);
     rig.resume();
     for (id, viewer) in (0x112..).zip(&mut viewers) {
         assert_eq!(final_answer(viewer, id), 12, "refused or failed, but answered");
@@ -83,26 +83,26 @@
 
 /// One client reads slowly and holds the process; others go on sending until their connection is ended.
 #[test]
-fn a_request_sent_while_the_last_answers_are_written_is_answered_or_its_connection_ended_before() {
+fn a_request_sent_while_the_last_answers_are_written_is_answered_unless_its_connection_closed_before() {
     let mut rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
-    let UnreadAnswers { viewer: _slow, mut streamer, first, .. } = unread_answers(&rig);
+    let UnreadAnswers { viewer: _unread_viewer, mut streamer, first, .. } = unread_answers(&rig);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(first + 9_000, "replay")).expect("written");
     read_rtsp(&mut streamer);
     streamer.write_all(&established_response(first + 9_000, "answer")).expect("written");
     assert_eq!(read_message(&mut viewer).0, 9);
-    told_to_end(&mut rig);
+    send_sigterm(&mut rig);
     next_line(&mut rig.log, "waits for its last messages to be written");
     viewer.set_read_timeout(Some(CROSSING)).expect("set");
     // The session's end, and then the connection's, or nothing for now.
-    let ended = loop {
+    let closed = loop {
         match viewer.read(&mut [0; 1_024]) {
             Ok(0) => break true,
             Ok(_) => {}
             Err(_) => break false,
         }
     };
-    if !ended {
+    if !closed {
         viewer.set_read_timeout(Some(TIMEOUT)).expect("set");
         viewer.write_all(&set_up(first + 9_001, "replay")).expect("written");
         assert_eq!(final_answer(&mut viewer, first + 9_001), 12, "refused or failed, but answered");
@@ -111,16 +111,16 @@
 
 /// The signal comes to an idle director, which is the latest to notice it.
 #[test]
-fn an_idle_director_that_is_told_to_end_is_gone_by_the_earliest_kill() {
+fn an_idle_director_exits_before_the_earliest_kill() {
     for _ in 0..4 {
         let mut rig = Rig::start();
-        let (viewer, _streamer) = standing(&rig, 0x121);
+        let (viewer, _streamer) = established_session(&rig, 0x121);
         std::thread::sleep(Duration::from_millis(20)); // what the answer led to is done
-        let told = Instant::now();
+        let signalled = Instant::now();
         rig.signal("-TERM");
-        sleep_until(told + DEADLINE + KILL_AFTER_DEADLINE);
-        let gone = rig.child.try_wait().expect("asked");
-        assert!(gone.is_some(), "it still runs as the kill comes");
+        sleep_until(signalled + DEADLINE + KILL_AFTER_DEADLINE);
+        let exit_status = rig.child.try_wait().expect("asked");
+        assert!(exit_status.is_some(), "it still runs as the kill comes");
         drop(viewer);
     }
 }
@@ -128,9 +128,9 @@
 /// A client that goes on sending on its open connection until it is ended: each request has its answer, but for
 /// those that crossed the close.
 #[test]
-fn every_request_sent_until_the_earliest_kill_is_answered_or_crosses_the_close() {
+fn every_request_sent_before_the_earliest_kill_is_answered_or_crosses_the_close() {
     let rig = Rig::start();
-    let (viewer, _streamer) = standing(&rig, 0x131);
+    let (viewer, _streamer) = established_session(&rig, 0x131);
     let mut writer = viewer.try_clone().expect("cloned");
     let sender = std::thread::spawn(move || {
         let mut sent = Vec::new();
@@ -144,7 +144,7 @@
         sent
     });
     std::thread::sleep(Duration::from_millis(30));
-    let told = Instant::now();
+    let signalled = Instant::now();
     rig.signal("-TERM");
     let reader = std::thread::spawn(move || {
         let mut viewer = viewer;
@@ -159,7 +159,7 @@
         let _ = viewer.shutdown(std::net::Shutdown::Both);
         (answered, closed)
     });
-    sleep_until(told + DEADLINE + KILL_AFTER_DEADLINE);
+    sleep_until(signalled + DEADLINE + KILL_AFTER_DEADLINE);
     rig.signal("-KILL");
     let (answered, closed) = reader.join().expect("read");
     let sent = sender.join().expect("sent");
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -42,14 +42,14 @@
 /// The next connection; fails where none comes.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("set");
-    let until = std::time::Instant::now() + TIMEOUT;
+    let deadline = std::time::Instant::now() + TIMEOUT;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).expect("set");
                 return stream;
             }
-            Err(_) if std::time::Instant::now() < until => std::thread::sleep(Duration::from_millis(2)),
+            Err(_) if std::time::Instant::now() < deadline => std::thread::sleep(Duration::from_millis(2)),
             Err(why) => panic!("no connection: {why}"),
         }
     }
@@ -57,9 +57,9 @@
 
 /// Looks until something holds; fails where it never does.
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let end = std::time::Instant::now() + TIMEOUT;
+    let deadline = std::time::Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(std::time::Instant::now() < end, "never: {what}");
+        assert!(std::time::Instant::now() < deadline, "never: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -165,13 +165,13 @@
         let port = |at: SocketAddr| format!(":{:04X}", at.port());
         let (here, there) = (port(self.address), port(viewer.local_addr().expect("bound")));
         drop(viewer);
-        let came = |line: &str| {
-            let words: Vec<&str> = line.split_whitespace().collect();
-            let at = |index: usize| words.get(index).copied().unwrap_or_default();
-            at(1).ends_with(&here) && at(2).ends_with(&there) && at(3) == TCP_CLOSE_WAIT
+        let received = |line: &str| {
+            let columns: Vec<&str> = line.split_whitespace().collect();
+            let column = |index: usize| columns.get(index).copied().unwrap_or_default();
+            column(1).ends_with(&here) && column(2).ends_with(&there) && column(3) == TCP_CLOSE_WAIT
         };
         wait_until("its end came", || {
-            std::fs::read_to_string("/proc/net/tcp").expect("it is there").lines().any(came)
+            std::fs::read_to_string("/proc/net/tcp").expect("it is there").lines().any(received)
         });
     }
 
@@ -183,8 +183,9 @@
     /// A figure at the door.
     pub fn metric(&self, name: &str) -> u64 {
         let (_, body) = self.admin_call("GET", "/_vars");
-        let of = |line: &str| line.strip_prefix("svc.")?.strip_prefix(name)?.strip_prefix('=')?.parse().ok();
-        body.lines().find_map(of).expect("a figure")
+        let value =
+            |line: &str| line.strip_prefix("svc.")?.strip_prefix(name)?.strip_prefix('=')?.parse().ok();
+        body.lines().find_map(value).expect("a figure")
     }
 
     pub fn signal(&self, name: &str) {
@@ -273,15 +274,15 @@
     }
 }
 
-pub fn next_line(log: &mut impl BufRead, with: &str) -> String {
+pub fn next_line(log: &mut impl BufRead, text: &str) -> String {
     let mut line = String::new();
     while log.read_line(&mut line).expect("readable") > 0 {
-        if line.contains(with) {
+        if line.contains(text) {
             return line;
         }
         line.clear();
     }
-    panic!("no line with {with:?}");
+    panic!("no line with {text:?}");
 }
 
 pub fn message(kind: u8, session: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
@@ -296,11 +297,11 @@
 }
 
 pub fn set_up(session: u64, class: &str) -> Vec<u8> {
-    let figures = b"home:0;copies:1;top:1;viewer:00000000b4d65521";
+    let session_parameters = b"home:0;copies:1;top:1;viewer:00000000b4d65521";
     message(
         1,
         session,
-        &[(16, class.as_bytes()), (19, b"20000"), (28, b"7f3a"), (31, figures), (61, b"offer")],
+        &[(16, class.as_bytes()), (19, b"20000"), (28, b"7f3a"), (31, session_parameters), (61, b"offer")],
     )
 }
 
@@ -327,10 +328,10 @@
 /// The next message to a streamer, as text.
 pub fn read_rtsp(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    let mut one = [0];
+    let mut byte = [0];
     let length = loop {
-        stream.read_exact(&mut one).expect("a message");
-        bytes.push(one[0]);
+        stream.read_exact(&mut byte).expect("a message");
+        bytes.push(byte[0]);
         if bytes.ends_with(b"\r\n\r\n") {
             let text = String::from_utf8_lossy(&bytes).to_string();
             let length = text.split("Content-Length: ").nth(1).and_then(|t| t.split('\r').next());
--- a/tests/rig/unread_answers.rs
+++ b/tests/rig/unread_answers.rs
@@ -14,36 +14,37 @@
 /// Brings a connection that nobody reads near the point at which the director would close it.
 pub fn unread_answers(rig: &Rig) -> UnreadAnswers {
     // A first connection tells how many answers the machines keep before too much waits at the director.
-    let mut full = non_reading_viewer(rig.address);
-    full.write_all(&set_up(1, "replay")).expect("written");
+    let mut full_viewer = non_reading_viewer(rig.address);
+    full_viewer.write_all(&set_up(1, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
     streamer.write_all(&established_response(1, "answer")).expect("written");
     wait_until("answered", || rig.metric("served") == 1);
-    let most = long_answers(rig, &mut full, &mut streamer, |_| rig.metric("overfull") == 0);
-    for _ in 0..ended_sessions(rig) {
+    let max_answers =
+        send_long_answers(rig, &mut full_viewer, &mut streamer, |_| rig.metric("overfull") == 0);
+    for _ in 0..released_sessions(rig) {
         assert!(read_rtsp(&mut streamer).starts_with("TEARDOWN"));
     }
     let mut viewer = non_reading_viewer(rig.address);
     let first = rig.metric("served") + 1;
-    let answers = long_answers(rig, &mut viewer, &mut streamer, |answers| answers < most - 4);
+    let answers = send_long_answers(rig, &mut viewer, &mut streamer, |answers| answers < max_answers - 4);
     UnreadAnswers { viewer, streamer, answers, first }
 }
 
 /// Sessions that were ended because their answers had not left.
-fn ended_sessions(rig: &Rig) -> u64 {
+fn released_sessions(rig: &Rig) -> u64 {
     wait_until("some are", || rig.metric("undelivered") > 0);
     rig.metric("undelivered")
 }
 
 /// Sets sessions up for a viewer that reads nothing, with long answers, as long as `more` says; tells how many.
-fn long_answers(
+fn send_long_answers(
     rig: &Rig,
     viewer: &mut TcpStream,
     streamer: &mut TcpStream,
     more: impl Fn(u64) -> bool,
 ) -> u64 {
-    let long = "a".repeat(15_000);
+    let description = "a".repeat(15_000);
     let before = rig.metric("served");
     let mut answers = 0;
     while more(answers) {
@@ -52,7 +53,7 @@
         let id = before + answers;
         viewer.write_all(&set_up(id, "replay")).expect("written");
         read_rtsp(streamer);
-        streamer.write_all(&established_response(id, &long)).expect("written");
+        streamer.write_all(&established_response(id, &description)).expect("written");
         wait_until("answered", || rig.metric("served") == id);
     }
     answers
