--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -1,5 +1,6 @@
-//! Requests that meet the end of the process: read as the grace period ends, sent while the last answers are written,
-//! waiting in the backlog, or open at the earliest kill. The bad order is forced by stopping the director.
+//! Requests that arrive around the end of the process: read as the grace period ends, sent while the last
+//! answers are written, waiting in the accept queue, or pending at the earliest kill. The critical order is
+//! forced by suspending the director.
 mod common;
 mod rig;
 use rig::*;
@@ -7,17 +8,19 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The deadline of all classes in `common::SETTINGS_JSON`.
+/// Deadline of all classes in `common::SETTINGS_JSON`.
 const DEADLINE: Duration = Duration::from_millis(600);
-/// A platform kills no sooner than this after SIGTERM and the longest deadline.
+/// A platform kills the process no earlier than this after SIGTERM plus the longest deadline.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// A set-up that crosses a close by no more than this is sent again by its client.
+/// A client resends a set-up that crosses a close by at most this much.
 const CROSSING: Duration = Duration::from_millis(50);
-/// Well inside every grace period, and well after it.
+/// Well within every grace period in these tests.
 const WITHIN_GRACE: Duration = Duration::from_millis(800);
+/// Well after every grace period in these tests.
 const AFTER_GRACE: Duration = Duration::from_millis(1_350);
 
-/// A session that stands, so that its connection is kept until the end.
+/// Establishes a session, so that its connection is kept until the end. Returns viewer and streamer
+/// connection.
 fn established_session(rig: &Rig, id: u64) -> (TcpStream, TcpStream) {
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(id, "replay")).expect("written");
@@ -28,7 +31,7 @@
     (viewer, streamer)
 }
 
-/// Sends SIGTERM and waits until the director has noticed it.
+/// Sends SIGTERM and waits until the director has noticed it. Returns the time then.
 fn send_sigterm(rig: &mut Rig) -> Instant {
     rig.signal("-TERM");
     next_line(&mut rig.log, "asked to end");
@@ -39,7 +42,8 @@
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-/// The final answer to a request; other sessions' ends on the same connection are passed over.
+/// Returns the type of the final answer to a request. Messages about other sessions on the connection are
+/// skipped.
 fn final_answer(viewer: &mut TcpStream, id: u64) -> u8 {
     loop {
         let (kind, session, _) = read_message(viewer);
@@ -49,6 +53,7 @@
     }
 }
 
+/// Guards against losing a request that is read in the turn in which the grace period ends.
 #[test]
 fn a_request_read_in_the_turn_that_ends_the_grace_period_is_answered() {
     let mut rig = Rig::start();
@@ -63,6 +68,7 @@
     next_line(&mut rig.log, "ended");
 }
 
+/// Guards against losing requests on connections that wait in the accept queue as the grace period ends.
 #[test]
 fn a_connection_waiting_to_be_accepted_as_the_grace_period_ends_is_answered() {
     let mut rig = Rig::start();
@@ -81,7 +87,8 @@
     }
 }
 
-/// One client reads slowly and holds the process; others go on sending until their connection is ended.
+/// Guards against losing a request while the process waits for a client that does not read its answers: other
+/// clients continue to send until their connection is closed.
 #[test]
 fn a_request_sent_while_the_last_answers_are_written_is_answered_unless_its_connection_closed_before() {
     let mut rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
@@ -94,7 +101,7 @@
     send_sigterm(&mut rig);
     next_line(&mut rig.log, "waits for its last messages to be written");
     viewer.set_read_timeout(Some(CROSSING)).expect("set");
-    // The session's end, and then the connection's, or nothing for now.
+    // The release of the session arrives, and then the end of the connection or nothing for now.
     let closed = loop {
         match viewer.read(&mut [0; 1_024]) {
             Ok(0) => break true,
@@ -109,24 +116,24 @@
     }
 }
 
-/// The signal comes to an idle director, which is the latest to notice it.
+/// Guards against running into the kill: an idle director notices SIGTERM later than a busy one.
 #[test]
 fn an_idle_director_exits_before_the_earliest_kill() {
     for _ in 0..4 {
         let mut rig = Rig::start();
         let (viewer, _streamer) = established_session(&rig, 0x121);
-        std::thread::sleep(Duration::from_millis(20)); // what the answer led to is done
+        std::thread::sleep(Duration::from_millis(20)); // until the director is idle again
         let signalled = Instant::now();
         rig.signal("-TERM");
         sleep_until(signalled + DEADLINE + KILL_AFTER_DEADLINE);
-        let exit_status = rig.child.try_wait().expect("asked");
-        assert!(exit_status.is_some(), "it still runs as the kill comes");
+        let exit_status = rig.child.try_wait().expect("waited");
+        assert!(exit_status.is_some(), "the process still runs at the earliest kill");
         drop(viewer);
     }
 }
 
-/// A client that goes on sending on its open connection until it is ended: each request has its answer, but for
-/// those that crossed the close.
+/// Guards against losing requests of a client that continues to send on its connection until it is closed.
+/// Only requests that cross the close may stay without an answer.
 #[test]
 fn every_request_sent_before_the_earliest_kill_is_answered_or_crosses_the_close() {
     let rig = Rig::start();
@@ -152,7 +159,7 @@
         let mut length = [0; 2];
         while viewer.read_exact(&mut length).is_ok() {
             let mut body = vec![0; usize::from(u16::from_be_bytes(length))];
-            viewer.read_exact(&mut body).expect("no message is cut");
+            viewer.read_exact(&mut body).expect("no message is truncated");
             answered.insert(u64::from_be_bytes(body[1..9].try_into().expect("eight bytes")));
         }
         let closed = Instant::now();
