--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -181,7 +181,7 @@
     }
 
     /// Clears the write buffer if no byte of it has been written. Returns whether it did.
-    pub fn unqueue(&mut self) -> bool {
+    pub fn discard_unsent(&mut self) -> bool {
         let unsent = !self.write_buffer.is_empty() && self.written == 0;
         if unsent {
             self.queued_total -= self.write_buffer.len() as u64;
--- a/src/net/streamers/link.rs
+++ b/src/net/streamers/link.rs
@@ -54,7 +54,7 @@
 impl Link {
     /// Takes a set-up back that is being written, if not a byte of it has left.
     pub fn take_back(&mut self, attempt: Attempt) -> bool {
-        let back = self.writing == Some(Writing::SetUp(attempt)) && self.line.unqueue();
+        let back = self.writing == Some(Writing::SetUp(attempt)) && self.line.discard_unsent();
         if back {
             self.writing = None;
         }
