--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,12 +1,12 @@
 //! The server of the admin interface: its listener and its connections.
 //!
-//! It owns the sockets and their timeouts; requests are passed on as [`Heard::Call`] and carried out
+//! It owns the sockets and their timeouts; requests are passed on as [`Event::AdminCall`] and carried out
 //! elsewhere. An idle connection holds a slot for a limited time, and is evicted for a new one when all slots
 //! are in use.
-use super::line::{Got, Line};
-use super::part::{Part, Ready};
-use super::poll::{Token, Watched};
-use super::shared::{Due, Heard, Shared};
+use super::component::{Component, Ready};
+use super::connection::{Connection, ReadOutcome};
+use super::poll::{Registered, Token};
+use super::shared::{Deadline, Event, Shared};
 use crate::director::Director;
 use crate::interface::Micros;
 use crate::platform::admin::{self, AdminError};
@@ -39,23 +39,23 @@
 }
 
 /// A connection of a client.
-struct Connection {
-    line: Line,
+struct AdminConnection {
+    line: Connection,
     accepted_at: Micros,
     state: RequestState,
 }
 
 /// Server of the admin interface.
 pub struct AdminServer {
-    listener: Watched<TcpListener>,
-    connections: BTreeMap<Token, Connection>,
+    listener: Registered<TcpListener>,
+    connections: BTreeMap<Token, AdminConnection>,
 }
 
 impl AdminServer {
     /// Creates a server that accepts connections from `listener`.
     pub fn new(shared: &mut Shared, listener: TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
-        Ok(AdminServer { listener: shared.poll.watch(listener, false)?, connections: BTreeMap::new() })
+        Ok(AdminServer { listener: shared.poll.register(listener, false)?, connections: BTreeMap::new() })
     }
 
     fn accept(&mut self, shared: &mut Shared) {
@@ -64,14 +64,14 @@
                 return self.pause_accepting(shared); // further connections wait in the backlog
             }
             match self.listener.source().accept() {
-                Ok((stream, _)) => match Line::accepted(&mut shared.poll, stream) {
+                Ok((stream, _)) => match Connection::accepted(&mut shared.poll, stream) {
                     Ok(line) => {
                         let token = line.token();
                         self.connections.insert(
                             token,
-                            Connection { line, accepted_at: shared.now, state: RequestState::Reading },
+                            AdminConnection { line, accepted_at: shared.now, state: RequestState::Reading },
                         );
-                        shared.wake(MAX_CONNECTION_AGE_US, Due::Door(token));
+                        shared.schedule(MAX_CONNECTION_AGE_US, Deadline::AdminConnection(token));
                         // The request has usually arrived already.
                         self.handle_io(shared, Ready { token, readable: true, writable: false });
                     }
@@ -95,7 +95,7 @@
     /// Closes the oldest connection that may be evicted, preferably one that was answered. Returns whether
     /// there was one.
     fn evict_connection(&mut self, shared: &mut Shared) -> bool {
-        let evictable = |connection: &&Connection| match connection.state {
+        let evictable = |connection: &&AdminConnection| match connection.state {
             RequestState::Reading => connection.accepted_at.saturating_add(REQUEST_GRACE_US) <= shared.now,
             RequestState::Pending => false,
             RequestState::Responded => true,
@@ -110,8 +110,8 @@
     }
 
     fn pause_accepting(&mut self, shared: &mut Shared) {
-        if self.listener.interest(false, false).is_ok() {
-            shared.wake(ACCEPT_PAUSE_US, Due::Door(self.listener.token()));
+        if self.listener.set_interest(false, false).is_ok() {
+            shared.schedule(ACCEPT_PAUSE_US, Deadline::AdminConnection(self.listener.token()));
         }
     }
 
@@ -130,24 +130,25 @@
         if connection.state != RequestState::Reading {
             // One request per connection. Further input is read and discarded, so that the client can read
             // its response.
-            connection.line.discard();
+            connection.line.discard_read();
         } else {
-            match connection.line.take_one(admin::parse_request) {
+            match connection.line.take_message(admin::parse_request) {
                 Ok(Some(request)) => {
                     shared.counters.calls += 1;
                     connection.state = RequestState::Pending;
-                    shared.heard.push(Heard::Call(token, request));
+                    shared.events.push(Event::AdminCall(token, request));
                 }
                 Ok(None) => {}
                 Err(error) => self.reject(shared, token, error),
             }
         }
         // A client that has shut down its sending side may still read the response.
-        let finished = |connection: &Connection| {
+        let finished = |connection: &AdminConnection| {
             connection.state == RequestState::Reading
-                || (connection.state == RequestState::Responded && connection.line.unwritten() == 0)
+                || (connection.state == RequestState::Responded && connection.line.unwritten_len() == 0)
         };
-        let ended = matches!(read_result, Ok(Got::End)) && self.connections.get(&token).is_some_and(finished);
+        let ended =
+            matches!(read_result, Ok(ReadOutcome::Eof)) && self.connections.get(&token).is_some_and(finished);
         if ended || read_result.is_err() {
             self.close(shared, token);
         }
@@ -163,7 +164,7 @@
     pub fn respond(&mut self, shared: &mut Shared, token: Token, status: u16, body: &str) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.state = RequestState::Responded;
-        connection.line.put(&admin::encode_response(status, body));
+        connection.line.queue(&admin::encode_response(status, body));
         self.flush(shared, token);
     }
 
@@ -174,7 +175,7 @@
             return;
         };
         let result = match connection.line.write() {
-            Ok(true) => connection.line.finish(),
+            Ok(true) => connection.line.shutdown_write(),
             Ok(false) => return,
             Err(error) => Err(error),
         };
@@ -185,12 +186,12 @@
     }
 }
 
-impl Part for AdminServer {
+impl Component for AdminServer {
     fn owns(&self, token: Token) -> bool {
         self.connections.contains_key(&token) || self.listener.token() == token
     }
 
-    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
         if self.listener.token() == ready.token {
             self.accept(shared);
         } else {
@@ -198,10 +199,10 @@
         }
     }
 
-    fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
-        let Due::Door(token) = due else { return false };
+    fn on_deadline(&mut self, shared: &mut Shared, _: &Director, due: Deadline) -> bool {
+        let Deadline::AdminConnection(token) = due else { return false };
         if self.listener.token() == token {
-            if let Err(error) = self.listener.interest(true, false) {
+            if let Err(error) = self.listener.set_interest(true, false) {
                 warn!(shared.log, "can't resume accepting admin connections: {error}");
             }
             self.accept(shared);
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -2,10 +2,10 @@
 //!
 //! After an interruption the client reconnects and requests the events after the last one it has. It closes a
 //! connection on which the heartbeats stop.
-use super::line::{Got, Line};
-use super::part::{Part, Ready};
+use super::component::{Component, Ready};
+use super::connection::{Connection, ReadOutcome};
 use super::poll::Token;
-use super::shared::{Due, Heard, Shared};
+use super::shared::{self, Deadline, Shared};
 use crate::director::Director;
 use crate::interface::Micros;
 use crate::platform::MAX_MESSAGE_BYTES;
@@ -36,7 +36,7 @@
 /// Client of the discovery service.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    connection: Option<Line>,
+    connection: Option<Connection>,
     connected: bool,
     last_event: u64,
     /// With a connection: when it times out. Without one: when to reconnect.
@@ -77,7 +77,7 @@
         if self.connection.is_some() {
             return self.connection_failed(shared, "timed out");
         }
-        match Line::dial(&mut shared.poll, self.address) {
+        match Connection::connect(&mut shared.poll, self.address) {
             Ok(connection) => {
                 (self.connection, self.connected) = (Some(connection), false);
                 self.set_deadline(shared, CONNECT_TIMEOUT_US);
@@ -88,7 +88,7 @@
 
     fn set_deadline(&mut self, shared: &mut Shared, delay: Micros) {
         self.deadline = shared.now.saturating_add(delay);
-        shared.deadlines.set(self.deadline, Due::Bulletin);
+        shared.deadlines.set(self.deadline, Deadline::Discovery);
     }
 
     fn connection_failed(&mut self, shared: &mut Shared, reason: &str) {
@@ -104,12 +104,12 @@
     fn handle_io(&mut self, shared: &mut Shared, Ready { readable, writable, .. }: Ready) -> Vec<Event> {
         let Some(connection) = self.connection.as_mut() else { return Vec::new() };
         if writable && !self.connected {
-            if let Err(error) = connection.outcome() {
+            if let Err(error) = connection.connect_result() {
                 self.connection_failed(shared, &error.to_string());
                 return Vec::new();
             }
             self.connected = true;
-            connection.put(&discovery::encode_request_after(self.last_event));
+            connection.queue(&discovery::encode_request_after(self.last_event));
             self.set_deadline(shared, HEARTBEAT_TIMEOUT_US);
         }
         let Some(connection) = self.connection.as_mut() else { return Vec::new() };
@@ -121,7 +121,7 @@
             return Vec::new();
         }
         let read_result = connection.read();
-        let (lines, oversized) = connection.take(split_line);
+        let (lines, oversized) = connection.take_messages(split_line);
         if !lines.is_empty() {
             self.set_deadline(shared, HEARTBEAT_TIMEOUT_US);
         }
@@ -140,8 +140,8 @@
                 shared.counters.malformed += 1;
                 self.connection_failed(shared, "line exceeds the size limit");
             }
-            Ok(Got::Bytes) => {}
-            Ok(Got::End) => self.connection_failed(shared, "closed by the peer"),
+            Ok(ReadOutcome::Open) => {}
+            Ok(ReadOutcome::Eof) => self.connection_failed(shared, "closed by the peer"),
             Err(error) => self.connection_failed(shared, &error.to_string()),
         }
         events
@@ -177,18 +177,18 @@
     }
 }
 
-impl Part for DiscoveryClient {
+impl Component for DiscoveryClient {
     fn owns(&self, token: Token) -> bool {
         self.connection.as_ref().is_some_and(|connection| connection.token() == token)
     }
 
-    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
         let events = self.handle_io(shared, ready);
-        shared.heard.extend(events.into_iter().map(Heard::Notice));
+        shared.events.extend(events.into_iter().map(shared::Event::Discovery));
     }
 
-    fn due(&mut self, shared: &mut Shared, _: &Director, due: Due) -> bool {
-        let owned = due == Due::Bulletin;
+    fn on_deadline(&mut self, shared: &mut Shared, _: &Director, due: Deadline) -> bool {
+        let owned = due == Deadline::Discovery;
         if owned {
             self.check_deadline(shared);
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,26 +1,28 @@
-//! The loop: one thread, one poller. Each turn gathers what is ready, hands it to the core in one go, and
-//! carries out what came back. It decides nothing.
+//! The director's event loop: one thread and one poller.
+//!
+//! Each turn collects what is ready (sockets, signals, deadlines), passes it to the core as one batch of
+//! inputs, and executes the outputs that the core returns. The loop makes no decisions of its own.
 mod admin;
 mod agreed;
-mod begin;
 mod clock;
+mod component;
+mod components;
+mod connection;
 mod discovery;
-mod duty;
 mod error;
 mod estate;
 mod hand;
-mod hear;
-mod line;
+mod lifecycle;
 mod lives;
 pub mod logging;
+mod messages;
 mod narrowed;
-mod part;
-mod parts;
 mod peers;
 mod poll;
 mod reload;
 mod shared;
 mod signals;
+mod startup;
 mod store;
 mod streamers;
 mod trace;
@@ -31,26 +33,26 @@
 use crate::settings::{NameRegistry, RawSettings, TransportSettings};
 use agreed::Agreed;
 pub use agreed::{LogSeen, Request, Told};
-pub use begin::{digest, operator};
 use clock::Clock;
-use duty::Phase;
+use component::Ready;
+use components::Components;
 pub use error::NodeError;
-use part::Ready;
-use parts::Parts;
-use shared::{Due, Heard, Shared};
-use signals::Asked;
+use lifecycle::ShutdownPhase;
+use shared::{Deadline, Event, Shared};
+use signals::SignalRequest;
 pub use signals::Signals;
 use slog::{info, trace};
+pub use startup::{read_operator_file, settings_digest};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 use stonewharf_halls::SharedHalls;
 
-/// Rounds of core and transport in one turn; what is left then is taken up in the next.
-const ROUNDS: usize = 16;
+/// Rounds of core and transport processing in one turn. Inputs that remain are processed in the next turn.
+const MAX_ROUNDS_PER_TURN: usize = 16;
 
-/// One director on its sockets.
+/// One director with its sockets.
 pub struct Node {
     clock: Clock,
     director: Director,
@@ -58,185 +60,198 @@
     transport: TransportSettings,
     shared: Shared,
     signals: Signals,
-    parts: Parts,
-    /// What the fleet agrees on, where it does.
-    agreed: Option<Agreed>,
-    /// The configuration's file, where it came from one, and what is in force of it.
-    file: Option<PathBuf>,
+    components: Components,
+    /// The replicated log that the fleet agrees on, if enabled.
+    agreement: Option<Agreed>,
+    /// The configuration file, if the configuration was read from one.
+    config_file: Option<PathBuf>,
     name: String,
-    info: RawSettings,
-    /// The operator file and what it set, where one is used.
+    /// The settings in force, to detect changes at a reload.
+    raw_settings: RawSettings,
+    /// The operator file and the hall limits that it configures, if one is used.
     operator: Option<(PathBuf, SharedHalls)>,
-    told_to_end: bool,
-    duty: Lifecycle,
-    figures: MetricsRegistry,
-    /// Where processes of this director leave what stands to the next one, where the platform replaces them.
-    estate: Option<PathBuf>,
-    /// What the one before left has been taken over.
-    inherited: bool,
-    phase: Phase,
-    /// Whether every input and deed is logged, at the level `trace`.
+    stop_requested: bool,
+    lifecycle: Lifecycle,
+    metrics: MetricsRegistry,
+    /// File through which a process of this director hands the rungs of its established sessions to its
+    /// successor, if the platform replaces processes.
+    handover_file: Option<PathBuf>,
+    /// Whether the predecessor's handover file has been read.
+    handover_loaded: bool,
+    phase: ShutdownPhase,
+    /// Whether inputs and outputs are logged at the level `trace`.
     tracing: bool,
 }
 
 impl Node {
-    /// Where it listens.
-    pub fn address(&self) -> io::Result<SocketAddr> {
-        self.parts.viewers.address()
+    /// Returns the address on which viewers connect.
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
+        self.components.viewers.address()
     }
 
-    /// What has been counted so far, by the core and by the transport.
+    /// Returns the counters of the core and the transport.
     pub fn counters(&self) -> &Counters {
         &self.shared.counters
     }
 
-    /// Logs every input to the core and every deed out of it, but the list's news and the core's own timers.
-    /// Costs a line for each: for following one request by its id, not for a long day.
-    pub fn trace(&mut self, on: bool) {
+    /// Enables or disables logging of every input to the core and every output from it, except updates of the
+    /// streamer list and the core's own timers.
+    ///
+    /// Each costs one line, so this is meant for following a single request by its id and not for permanent
+    /// use.
+    pub fn set_tracing(&mut self, on: bool) {
         self.tracing = on;
     }
 
-    /// Serves until SIGTERM and the grace time after it.
+    /// Serves until SIGTERM and through the grace period after it.
     pub fn run(&mut self) -> Result<(), NodeError> {
-        info!(self.shared.log, "serves"; "at" => %self.address()?);
-        while self.phase != Phase::Done {
+        info!(self.shared.log, "serves"; "at" => %self.local_addr()?);
+        while self.phase != ShutdownPhase::Done {
             self.turn(None)?;
         }
         info!(self.shared.log, "ended"; "counters" => %self.counters());
         Ok(())
     }
 
-    /// One turn of the loop; waits for something to do, at most as long as said.
-    pub fn turn(&mut self, most: Option<Duration>) -> Result<(), NodeError> {
+    /// Runs one turn of the loop. Waits until there is something to do, but for at most `max_wait`.
+    pub fn turn(&mut self, max_wait: Option<Duration>) -> Result<(), NodeError> {
         let next = self.shared.deadlines.next_due();
-        let until = next.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
-        let heard = !self.shared.inputs.is_empty() || !self.shared.heard.is_empty();
-        let left_over = heard.then_some(Duration::ZERO);
-        let wait = [most, until, left_over, Some(signals::NOTICE)].into_iter().flatten().min();
+        let until_deadline = next.map(|at| Duration::from_micros(at.saturating_sub(self.clock.now())));
+        let pending = !self.shared.inputs.is_empty() || !self.shared.events.is_empty();
+        let until_events = pending.then_some(Duration::ZERO);
+        let wait = [max_wait, until_deadline, until_events, Some(signals::MAX_SIGNAL_LATENCY)]
+            .into_iter()
+            .flatten()
+            .min();
         let ready = self.shared.poll.wait(wait)?;
         self.shared.now = self.clock.now();
-        let asked: Vec<Asked> = self.signals.asked().collect();
-        asked.into_iter().for_each(|asked| self.asked(asked));
+        let requests: Vec<SignalRequest> = self.signals.take_pending().collect();
+        requests.into_iter().for_each(|request| self.handle_signal(request));
         for (token, readable, writable) in ready {
-            self.parts.ready(&mut self.shared, &self.director, Ready { token, readable, writable });
-            self.take_in();
+            self.components.on_ready(&mut self.shared, &self.director, Ready { token, readable, writable });
+            self.process_events();
         }
-        while let Some(due) = self.shared.deadlines.pop_due(self.shared.now) {
-            self.due(due);
+        while let Some(deadline) = self.shared.deadlines.pop_due(self.shared.now) {
+            self.on_deadline(deadline);
         }
-        if self.phase == Phase::LastTurn {
-            self.parts.viewers.read_all(&mut self.shared);
+        if self.phase == ShutdownPhase::FinalTurn {
+            self.components.viewers.read_all(&mut self.shared);
         }
-        for _ in 0..ROUNDS {
-            self.take_in();
+        for _ in 0..MAX_ROUNDS_PER_TURN {
+            self.process_events();
             if self.shared.inputs.is_empty() {
-                self.parts.streamers.flush(&mut self.shared);
+                self.components.streamers.flush(&mut self.shared);
             }
             if self.shared.inputs.is_empty() {
                 break;
             }
             let mut inputs = std::mem::take(&mut self.shared.inputs);
             self.estate_inputs(&mut inputs);
-            for input in inputs.iter().filter(|_| self.tracing).filter_map(trace::input) {
+            for input in inputs.iter().filter(|_| self.tracing).filter_map(trace::describe_input) {
                 trace!(self.shared.log, "in"; "input" => input);
             }
             self.log_lost_requests(&inputs);
-            let deeds = self.decide(inputs);
-            for deed in deeds.iter().filter(|_| self.tracing).filter_map(trace::deed) {
-                trace!(self.shared.log, "out"; "deed" => deed);
+            let outputs = self.run_core(inputs);
+            for output in outputs.iter().filter(|_| self.tracing).filter_map(trace::describe_output) {
+                trace!(self.shared.log, "out"; "deed" => output);
             }
             self.estate_words();
-            deeds.into_iter().for_each(|deed| self.carry_out(deed));
+            outputs.into_iter().for_each(|output| self.execute(output));
         }
-        self.parts.streamers.flush(&mut self.shared);
-        self.parts.turned(&mut self.shared);
-        if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.parts.peers)
-            && agreed.turned(&mut self.shared, peers).is_some()
+        self.components.streamers.flush(&mut self.shared);
+        self.components.on_turn_end(&mut self.shared);
+        if let (Some(agreement), Some(peers)) = (&mut self.agreement, &mut self.components.peers)
+            && agreement.turned(&mut self.shared, peers).is_some()
         {
-            self.leave();
+            self.begin_shutdown();
         }
         self.estate_deeds();
-        self.advance_end();
+        self.advance_shutdown();
         Ok(())
     }
 
-    /// Takes in what the parts have heard.
-    fn take_in(&mut self) {
-        for heard in std::mem::take(&mut self.shared.heard) {
-            match heard {
-                Heard::Viewer(link, message) => self.heard_viewer(link, message),
-                Heard::Closed(token) => self.parts.viewers.handle_peer_close(&mut self.shared, token),
-                Heard::Notice(notice) => self.notice(&notice, false),
-                Heard::Call(token, call) => self.called(token, call),
+    /// Processes the events that the components have queued.
+    fn process_events(&mut self) {
+        for event in std::mem::take(&mut self.shared.events) {
+            match event {
+                Event::ViewerMessage(link, message) => self.handle_viewer_message(link, message),
+                Event::ViewerClosed(token) => {
+                    self.components.viewers.handle_peer_close(&mut self.shared, token)
+                }
+                Event::Discovery(notice) => self.handle_discovery_event(&notice, false),
+                Event::AdminCall(token, call) => self.handle_admin_call(token, call),
             }
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
-        match asked {
-            Asked::Counters => {
+    fn handle_signal(&mut self, request: SignalRequest) {
+        match request {
+            SignalRequest::LogCounters => {
                 info!(self.shared.log, "counters"; "counters" => %self.counters());
             }
-            Asked::End => self.end(),
-            Asked::Reload => self.reload(),
+            SignalRequest::Stop => self.request_stop(),
+            SignalRequest::Reload => self.reload(),
         }
     }
 
-    /// It was told to end: at once, or when it has a permit, where the fleet agrees on those. Told a second
-    /// time it waits for none.
-    fn end(&mut self) {
-        let waits = self.agreed.as_mut().is_some_and(|agreed| agreed.told_to_end(&self.shared));
-        if waits && !std::mem::replace(&mut self.told_to_end, true) {
-            return info!(self.shared.log, "asked to end, asks for a permit"; "at_us" => self.shared.now);
+    /// Handles a request to stop: begins the shutdown at once, or, if the fleet grants permits for it,
+    /// requests a permit first. A second request does not wait for a permit.
+    fn request_stop(&mut self) {
+        let waits_for_permit =
+            self.agreement.as_mut().is_some_and(|agreement| agreement.told_to_end(&self.shared));
+        if waits_for_permit && !std::mem::replace(&mut self.stop_requested, true) {
+            return info!(self.shared.log, "asked to end; requests a permit"; "at_us" => self.shared.now);
         }
-        self.leave();
+        self.begin_shutdown();
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Agreed | Due::Closing => {} // looked at as the turn ends
-            Due::Core(due) => self.shared.inputs.push(Input::Due(due)),
-            Due::Away => self.send_away(),
-            Due::Quit => self.quit(),
-            due => self.parts.due(&mut self.shared, &self.director, due),
+    fn on_deadline(&mut self, deadline: Deadline) {
+        match deadline {
+            Deadline::Agreement | Deadline::Closing => {} // handled at the end of the turn
+            Deadline::Core(due) => self.shared.inputs.push(Input::Due(due)),
+            Deadline::LifecyclePoll => self.poll_lifecycle(),
+            Deadline::PhaseEnd => self.end_phase(),
+            deadline => self.components.on_deadline(&mut self.shared, &self.director, deadline),
         }
     }
 
-    fn carry_out(&mut self, deed: Output) {
+    fn execute(&mut self, output: Output) {
         let shared = &mut self.shared;
-        match deed {
+        match output {
             Output::Answer(link, id, description) => match viewer::answer(id, &description) {
-                Some(bytes) => self.parts.viewers.send_answer(shared, link, id, &bytes),
+                Some(bytes) => self.components.viewers.send_answer(shared, link, id, &bytes),
                 None => {
-                    self.parts.viewers.send(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
+                    self.components.viewers.send(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
                     shared.inputs.push(Input::Undelivered(id));
                 }
             },
             Output::Refuse(link, id, hold_off_us) => {
-                self.parts.viewers.send(shared, link, &viewer::refusal(id, hold_off_us / 1000));
+                self.components.viewers.send(shared, link, &viewer::refusal(id, hold_off_us / 1000));
             }
             Output::Fail(link, id) => {
-                self.parts.viewers.send(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
+                self.components.viewers.send(shared, link, &viewer::release(id, viewer::CAUSE_FAILED));
             }
-            Output::Spurn(link, id) => self.parts.viewers.reject_unusable(shared, link, id),
+            Output::Spurn(link, id) => self.components.viewers.reject_unusable(shared, link, id),
             Output::Release(link, id, why) => {
                 let cause = if why == SessionEnd::Ended { viewer::CAUSE_ENDED } else { viewer::CAUSE_FAILED };
-                self.parts.viewers.send_release(shared, link, viewer::release(id, cause));
+                self.components.viewers.send_release(shared, link, viewer::release(id, cause));
+            }
+            Output::MoveOff(link, id) => {
+                self.components.viewers.send_release(shared, link, viewer::move_off(id))
             }
-            Output::MoveOff(link, id) => self.parts.viewers.send_release(shared, link, viewer::move_off(id)),
-            Output::SetUp(set_up) => self.parts.streamers.send_set_up(shared, set_up),
+            Output::SetUp(set_up) => self.components.streamers.send_set_up(shared, set_up),
             Output::GiveUp(streamer, attempt) => {
-                self.parts.streamers.cancel_attempt(shared, streamer, attempt)
+                self.components.streamers.cancel_attempt(shared, streamer, attempt)
             }
             Output::Drop(streamer, id) => {
-                self.parts.streamers.send_control(shared, streamer, rtsp::release(id), Some(id))
+                self.components.streamers.send_control(shared, streamer, rtsp::release(id), Some(id))
             }
             Output::Rung(streamer, id, rung) => {
-                self.parts.streamers.send_control(shared, streamer, rtsp::set_rung(id, rung), Some(id));
+                self.components.streamers.send_control(shared, streamer, rtsp::set_rung(id, rung), Some(id));
             }
-            Output::Probe(streamer) => self.parts.streamers.probe(shared, streamer),
-            Output::Attend(streamer) => self.parts.streamers.ensure_connected(shared, streamer),
-            Output::Wake(at, due) => shared.deadlines.set(at, Due::Core(due)),
+            Output::Probe(streamer) => self.components.streamers.probe(shared, streamer),
+            Output::Attend(streamer) => self.components.streamers.ensure_connected(shared, streamer),
+            Output::Wake(at, due) => shared.deadlines.set(at, Deadline::Core(due)),
             Output::Log(words) => info!(shared.log, "{words}"),
         }
     }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,30 +1,33 @@
-//! SIGHUP: the configuration and the operator file are read again, and taken over whole or not at all.
-use super::{Node, NodeError, begin, digest, operator};
+//! Reloading on SIGHUP: the configuration and the operator file are read again and applied completely or not
+//! at all.
+use super::{Node, NodeError, read_operator_file, settings_digest, startup};
 use crate::director::Director;
 use crate::platform::config::{Config, ConfigError};
 use crate::settings::NameRegistry;
 use slog::{info, warn};
 use stonewharf_operator::Operator;
 
-/// What a reload read and found usable.
-struct Reread {
+/// The files that a reload has read and checked.
+struct LoadedFiles {
     config: Config,
     operator: Option<Operator>,
 }
 
 impl Node {
-    /// Reads the files again and takes over what can change under way: where the bulletin is, and the halls.
-    /// What could not be started with, or is another deployment's, changes nothing.
+    /// Reads the files again and applies what can change while serving: the address of discovery, and the
+    /// settings of the halls and the rollout budgets in the operator file.
+    ///
+    /// Files with which the director could not start, or that belong to another deployment, change nothing.
     pub(super) fn reload(&mut self) {
-        match self.reread() {
-            Ok(read) => self.take_over(read),
+        match self.load_files() {
+            Ok(files) => self.apply_files(files),
             Err(why) => warn!(self.shared.log, "the old configuration stays: {why}"),
         }
     }
 
-    /// Reads and checks all of it, as at a start.
-    fn reread(&self) -> Result<Reread, NodeError> {
-        let config = Config::from_file(self.file.as_deref().ok_or(ConfigError::PathNotSet)?)?;
+    /// Reads and checks the files in the same way as at startup.
+    fn load_files(&self) -> Result<LoadedFiles, NodeError> {
+        let config = Config::from_file(self.config_file.as_deref().ok_or(ConfigError::PathNotSet)?)?;
         if config.name != self.name {
             return Err(NodeError::OtherDirector(config.name));
         }
@@ -33,25 +36,33 @@
             return Err(NodeError::OtherDeployment(what));
         }
         Director::new(settings, config.seed()?, self.shared.now)?;
-        let operator = self.operator.as_ref().map(|(file, _)| operator(file, Some(&names))).transpose()?;
-        Ok(Reread { config, operator })
+        let operator =
+            self.operator.as_ref().map(|(file, _)| read_operator_file(file, Some(&names))).transpose()?;
+        Ok(LoadedFiles { config, operator })
     }
 
-    fn take_over(&mut self, read: Reread) {
+    /// Applies the files that were read.
+    fn apply_files(&mut self, files: LoadedFiles) {
         self.shared.counters.reloads += 1;
-        if let (Some(own), Some((_, halls))) = (read.operator, &self.operator) {
-            let budgets = own.out.clone().unwrap_or_default();
-            self.agreed.iter_mut().for_each(|agreed| agreed.budgets(budgets.clone()));
-            let digest = digest(&own);
-            self.parts.peers.iter_mut().for_each(|peers| peers.digest(self.shared.now, digest));
+        if let (Some(operator), Some((_, halls))) = (files.operator, &self.operator) {
+            let budgets = operator.out.clone().unwrap_or_default();
+            self.agreement.iter_mut().for_each(|agreement| agreement.budgets(budgets.clone()));
+            let digest = settings_digest(&operator);
+            self.components.peers.iter_mut().for_each(|peers| peers.digest(self.shared.now, digest));
             let (classes, zones) = (self.names.classes().to_vec(), &mut self.names);
-            let class = |name: &str| classes.iter().position(|c| c == name);
-            halls.0.borrow_mut().configure(begin::halls_of(own), class, |name| zones.zone(name));
+            let class_index = |name: &str| classes.iter().position(|c| c == name);
+            halls
+                .0
+                .borrow_mut()
+                .configure(startup::hall_settings(operator), class_index, |name| zones.zone(name));
         }
         info!(self.shared.log, "the configuration was read again");
-        if read.config.settings != self.info {
-            warn!(self.shared.log, "its settings differ from those in force and hold from the next start");
+        if files.config.settings != self.raw_settings {
+            warn!(
+                self.shared.log,
+                "the configuration's settings have changed and take effect at the next start"
+            );
         }
-        self.parts.bulletin.set_address(&mut self.shared, read.config.discovery_addr);
+        self.components.discovery.set_address(&mut self.shared, files.config.discovery_addr);
     }
 }
--- a/src/net/streamers/exchange.rs
+++ b/src/net/streamers/exchange.rs
@@ -1,6 +1,6 @@
 //! I/O on the connections to streamers: reading, writing message by message, and closing.
-use super::super::line::Got;
-use super::super::part::Ready;
+use super::super::component::Ready;
+use super::super::connection::ReadOutcome;
 use super::super::poll::Token;
 use super::super::shared::Shared;
 use super::link::{MessageInProgress, QueuedMessage};
@@ -19,7 +19,7 @@
             if !writable {
                 return;
             }
-            if let Err(why) = connection.socket.outcome() {
+            if let Err(why) = connection.socket.connect_result() {
                 return self.connect_failed(shared, token, &why);
             }
             connection.connected = true;
@@ -52,7 +52,9 @@
 
     /// Whether an established connection has data that is not written yet.
     pub fn has_unwritten(&self) -> bool {
-        self.connections.values().any(|c| c.connected && (c.socket.unwritten() > 0 || !c.queue.is_empty()))
+        self.connections
+            .values()
+            .any(|c| c.connected && (c.socket.unwritten_len() > 0 || !c.queue.is_empty()))
     }
 
     /// Closes a connection after a write error. What was received on it before is still processed, because it
@@ -73,7 +75,7 @@
     pub(super) fn read(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let read_result = connection.socket.read();
-        let (messages, parse_error) = connection.socket.take(rtsp::read);
+        let (messages, parse_error) = connection.socket.take_messages(rtsp::read);
         if !messages.is_empty() {
             connection.last_received_at = shared.now;
             if let Some(pool) = self.pools.get_mut(&connection.streamer) {
@@ -90,8 +92,8 @@
             return self.close(shared, token);
         }
         match read_result {
-            Ok(Got::Bytes) => {}
-            Ok(Got::End) => self.close(shared, token),
+            Ok(ReadOutcome::Open) => {}
+            Ok(ReadOutcome::Eof) => self.close(shared, token),
             Err(why) => {
                 let streamer = connection.streamer.0;
                 debug!(shared.log, "read from streamer failed; closing the connection: {why}";
@@ -122,7 +124,7 @@
                 // Not sent if this director's permission to act on the session expired while it was queued.
                 Some(QueuedMessage::Control(_, Some(session))) if !shared.may_act(session) => {}
                 Some(QueuedMessage::Control(bytes, acting_on)) => {
-                    connection.socket.put(&bytes);
+                    connection.socket.queue(&bytes);
                     connection.writing = Some(MessageInProgress::Control(bytes, acting_on));
                 }
                 // The session may belong to another director by now, and must not be ended by this one.
@@ -130,7 +132,7 @@
                     shared.inputs.push(Input::GaveUp(attempt));
                 }
                 Some(QueuedMessage::Cancel(attempt)) => {
-                    connection.socket.put(&rtsp::cancel(attempt.session));
+                    connection.socket.queue(&rtsp::cancel(attempt.session));
                     connection.writing = Some(MessageInProgress::Cancel(attempt));
                 }
                 Some(QueuedMessage::SetUp { attempt, rung, until, send_by, parcel }) => {
@@ -140,7 +142,7 @@
                     let in_time = wait_ms > 0 && shared.now < send_by;
                     match bytes.filter(|_| streamer_up && in_time && shared.may_act(attempt.session)) {
                         Some(bytes) => {
-                            connection.socket.put(&bytes);
+                            connection.socket.queue(&bytes);
                             connection.writing = Some(MessageInProgress::SetUp(attempt));
                             connection.open_attempts.insert(attempt.session, (attempt.number, true));
                         }
--- a/src/net/streamers/link.rs
+++ b/src/net/streamers/link.rs
@@ -1,6 +1,6 @@
 //! One connection to a streamer: its message queue, its open attempts, and the translation of the streamer's
 //! messages into inputs of the core.
-use super::super::line::Line;
+use super::super::connection::Connection;
 use super::super::shared::Shared;
 use crate::director::{Attempt, Input, Parcel, SessionEnd};
 use crate::interface::{Micros, Outcome, RequestId, StreamerId};
@@ -34,7 +34,7 @@
 /// One connection to a streamer.
 pub struct StreamerConnection {
     pub streamer: StreamerId,
-    pub socket: Line,
+    pub socket: Connection,
     pub connected: bool,
     pub queue: VecDeque<QueuedMessage>,
     /// The message that was last handed to the socket, until it is completely written.
@@ -59,7 +59,8 @@
 impl StreamerConnection {
     /// Withdraws a set-up that is being written, if no byte of it has been sent. Tells whether it did.
     pub fn withdraw_unwritten(&mut self, attempt: Attempt) -> bool {
-        let withdrawn = self.writing == Some(MessageInProgress::SetUp(attempt)) && self.socket.take_back();
+        let withdrawn =
+            self.writing == Some(MessageInProgress::SetUp(attempt)) && self.socket.discard_unsent();
         if withdrawn {
             self.writing = None;
         }
@@ -96,7 +97,9 @@
             }
             FromStreamer::Note(session, Some(kind), value) => Input::Noted { streamer, session, kind, value },
             // Only needed where sessions outlive their director.
-            FromStreamer::ReleaseAcknowledged(session) if shared.leave.is_some() => Input::DropHeard(session),
+            FromStreamer::ReleaseAcknowledged(session) if shared.ownership.is_some() => {
+                Input::DropHeard(session)
+            }
             FromStreamer::Note(_, None, _)
             | FromStreamer::ReleaseAcknowledged(_)
             | FromStreamer::Irrelevant => return,
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -4,9 +4,9 @@
 mod link;
 mod ways;
 
-use super::part::{Part, Ready};
+use super::component::{Component, Ready};
 use super::poll::Token;
-use super::shared::{Due, Shared};
+use super::shared::{Deadline, Shared};
 use crate::director::{Attempt, Director, Input, SetUp, UnsentReason};
 use crate::interface::{Entry, ListScope, LoadReport, Micros, Outcome, RequestId, Standing, StreamerId};
 use crate::platform::rtsp;
@@ -79,7 +79,7 @@
 
     /// Starts the periodic checks of the connections.
     pub fn start(&self, shared: &mut Shared) {
-        shared.wake(CHECK_INTERVAL_US, Due::Watch);
+        shared.schedule(CHECK_INTERVAL_US, Deadline::CheckStreamers);
     }
 
     /// Applies an update of the streamer list.
@@ -182,7 +182,7 @@
         if started && !connection.withdraw_unwritten(attempt) {
             connection.cancelled.insert(session);
             connection.queue.push_back(QueuedMessage::Cancel(attempt));
-            shared.wake(CANCEL_WRITE_TIMEOUT_US, Due::GiveUp(token, attempt));
+            shared.schedule(CANCEL_WRITE_TIMEOUT_US, Deadline::Cancel(token, attempt));
             self.write_queue(shared, token);
         } else {
             connection
@@ -251,7 +251,7 @@
             connection.probes.insert(id);
             connection.queue.push_back(QueuedMessage::Control(rtsp::load_probe(id), None));
             let dial_allowance_us = if connection.connected { 0 } else { self.transport.dial_timeout_us };
-            shared.wake(self.transport.dial_timeout_us + dial_allowance_us, Due::Probe(token, id));
+            shared.schedule(self.transport.dial_timeout_us + dial_allowance_us, Deadline::Probe(token, id));
         }
         self.write_queue(shared, token);
     }
@@ -274,23 +274,23 @@
     }
 }
 
-impl Part for Streamers {
+impl Component for Streamers {
     fn owns(&self, token: Token) -> bool {
         self.connections.contains_key(&token)
     }
 
-    fn ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, _: &Director, ready: Ready) {
         self.handle_ready(shared, ready);
     }
 
-    fn due(&mut self, shared: &mut Shared, director: &Director, due: Due) -> bool {
+    fn on_deadline(&mut self, shared: &mut Shared, director: &Director, due: Deadline) -> bool {
         match due {
-            Due::Dial(token) => self.handle_dial_deadline(shared, token),
-            Due::Probe(token, id) => self.handle_probe_deadline(shared, token, id),
-            Due::GiveUp(token, attempt) => self.handle_cancel_deadline(shared, token, attempt),
-            Due::Watch => {
+            Deadline::Connect(token) => self.handle_dial_deadline(shared, token),
+            Deadline::Probe(token, id) => self.handle_probe_deadline(shared, token, id),
+            Deadline::Cancel(token, attempt) => self.handle_cancel_deadline(shared, token, attempt),
+            Deadline::CheckStreamers => {
                 self.check_connections(shared, |s| director.sessions_at(s));
-                shared.wake(CHECK_INTERVAL_US, Due::Watch);
+                shared.schedule(CHECK_INTERVAL_US, Deadline::CheckStreamers);
             }
             _ => return false,
         }
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/ways.rs
@@ -1,7 +1,7 @@
 //! Choice of connections to streamers, dialling and redialling, and detection of lost streamers.
-use super::super::line::Line;
+use super::super::connection::Connection;
 use super::super::poll::Token;
-use super::super::shared::{Due, Shared};
+use super::super::shared::{Deadline, Shared};
 use super::link::StreamerConnection;
 use super::{
     CONTROL_REDIAL_DELAY_US, MAX_CANCELLED_SET_UPS, MAX_QUEUED_MESSAGES, Pool, RECENT_INPUT_US,
@@ -62,7 +62,7 @@
     pub(super) fn dial(&mut self, shared: &mut Shared, streamer: StreamerId) -> Result<Token, UnsentReason> {
         if self.connections.len() >= self.max_connections {
             let unused = |c: &&StreamerConnection| {
-                let has_unwritten = !c.queue.is_empty() || c.socket.unwritten() > 0;
+                let has_unwritten = !c.queue.is_empty() || c.socket.unwritten_len() > 0;
                 c.connected && c.open_attempts.is_empty() && c.probes.is_empty() && !has_unwritten
             };
             let oldest = self.connections.values().filter(unused).min_by_key(|c| c.last_used_at);
@@ -72,7 +72,8 @@
         let pool = self.pools.get_mut(&streamer).ok_or(UnsentReason::Withdrawn)?;
         pool.next_dial_at = shared.now.saturating_add(REDIAL_INTERVAL_US);
         pool.input_may_be_lost = false;
-        let socket = match Line::dial(&mut shared.poll, pool.address.ok_or(UnsentReason::Withdrawn)?) {
+        let socket = match Connection::connect(&mut shared.poll, pool.address.ok_or(UnsentReason::Withdrawn)?)
+        {
             Ok(socket) => socket,
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => {
                 self.dial_failed(shared, streamer, shared.now, &why);
@@ -104,7 +105,7 @@
         };
         self.connections.insert(token, connection);
         shared.counters.streamer_connections += 1;
-        shared.wake(self.transport.dial_timeout_us, Due::Dial(token));
+        shared.schedule(self.transport.dial_timeout_us, Deadline::Connect(token));
         Ok(token)
     }
 
@@ -168,7 +169,7 @@
                 && c.open_attempts.is_empty()
                 && c.probes.is_empty()
                 && c.queue.is_empty()
-                && c.socket.unwritten() == 0
+                && c.socket.unwritten_len() == 0
                 && c.last_used_at.saturating_add(self.transport.idle_timeout_us / 5 * 4) <= now
                 && sessions_at(c.streamer) == 0
         };
--- a/src/net/trace.rs
+++ b/src/net/trace.rs
@@ -1,27 +1,29 @@
-//! Lines of the level `trace`: every input to the core and every deed out of it, in a brief form that keeps
-//! the ids and figures and leaves the descriptions out (their bytes made a line ten times as long, and a
-//! day's trace heavy enough to change the timing it was to show). Also the lines that name requests which end
-//! without an answer. Decides nothing.
+//! Log lines of the level `trace` for every input to the core and every output from it.
+//!
+//! The lines contain ids and numbers but no session descriptions: their bytes made a line ten times as long,
+//! and a day's trace heavy enough to change the timing that it was to show. This module also logs requests
+//! that end without an answer.
 use super::Node;
 use crate::director::{Input, Output, SetUp};
 use slog::debug;
 
 impl Node {
-    /// Tells of connections that are gone with requests open on them.
+    /// Logs connections that were lost while requests were pending on them.
     pub(super) fn log_lost_requests(&self, inputs: &[Input]) {
         for input in inputs {
             if let Input::LinkLost(link) = input
                 && let (open @ 1.., _) = self.director.requests_and_sessions_on(*link)
             {
-                debug!(self.shared.log, "requests are given up with their connection";
+                debug!(self.shared.log, "requests are cancelled because their connection was lost";
                     "at_us" => self.shared.now, "connection" => link.0, "requests" => open);
             }
         }
     }
 }
 
-/// An input, briefly; `None` for the list's news and the core's own timers, which are not traced.
-pub fn input(input: &Input) -> Option<String> {
+/// Describes an input briefly. Returns `None` for updates of the streamer list and the core's own timers,
+/// which are not traced.
+pub fn describe_input(input: &Input) -> Option<String> {
     Some(match input {
         Input::List { .. } | Input::Due(_) => return None,
         Input::Wanted { link, request, parcel } => {
@@ -40,9 +42,9 @@
     })
 }
 
-/// A deed, briefly; `None` for wake-ups and the module's own lines, which are not traced.
-pub fn deed(deed: &Output) -> Option<String> {
-    Some(match deed {
+/// Describes an output briefly. Returns `None` for deadlines and log lines of the core, which are not traced.
+pub fn describe_output(output: &Output) -> Option<String> {
+    Some(match output {
         Output::Wake(..) | Output::Log(_) => return None,
         Output::Answer(link, id, description) => {
             format!("Answer {id:?} to {link:?}, {} bytes", description.len())
@@ -62,14 +64,15 @@
     use std::rc::Rc;
 
     #[test]
-    fn ids_stay_and_descriptions_go() {
+    fn trace_lines_keep_ids_and_omit_descriptions() {
         let parcel = Rc::new(Parcel { class: "paid".into(), title: "t".into(), description: vec![7; 500] });
         let request = Request { id: RequestId(42), ..Request::default() };
-        let wanted = input(&Input::Wanted { link: crate::director::ViewerLink(3), request, parcel });
+        let wanted = describe_input(&Input::Wanted { link: crate::director::ViewerLink(3), request, parcel });
         let wanted = wanted.expect("traced");
         assert!(wanted.contains("RequestId(42)") && wanted.len() < 400, "{wanted}");
-        let answer = deed(&Output::Answer(crate::director::ViewerLink(3), RequestId(42), vec![7; 500]));
+        let answer =
+            describe_output(&Output::Answer(crate::director::ViewerLink(3), RequestId(42), vec![7; 500]));
         assert_eq!(answer.as_deref(), Some("Answer RequestId(42) to ViewerLink(3), 500 bytes"));
-        assert!(deed(&Output::Probe(StreamerId(1))).is_some());
+        assert!(describe_output(&Output::Probe(StreamerId(1))).is_some());
     }
 }
--- a/src/net/viewers/closing.rs
+++ b/src/net/viewers/closing.rs
@@ -8,9 +8,9 @@
 use super::connection::{CloseReason, ConnectionState};
 use crate::director::{Director, ViewerLink};
 use crate::interface::Micros;
-use crate::net::part::Ready;
+use crate::net::component::Ready;
 use crate::net::poll::Token;
-use crate::net::shared::{Due, Shared};
+use crate::net::shared::{Deadline, Shared};
 use slog::{debug, warn};
 use std::io::ErrorKind;
 
@@ -79,19 +79,19 @@
                 self.closing.remove(&token);
                 continue;
             };
-            let pending =
-                director.requests_and_sessions_on(ViewerLink(token)).0 > 0 || connection.line.unwritten() > 0;
+            let pending = director.requests_and_sessions_on(ViewerLink(token)).0 > 0
+                || connection.line.unwritten_len() > 0;
             let within = |timeout: Micros| since.saturating_add(timeout) > shared.now;
             let may_await_partial = connection.accepts_messages() && within(PARTIAL_MESSAGE_WAIT_US);
             let keeps_reading = reason == CloseReason::End && within(SHUTDOWN_READ_LIMIT_US);
             if pending
-                || may_await_partial && connection.line.partial()
+                || may_await_partial && connection.line.has_partial_message()
                 || keeps_reading && self.read_before_close(shared, token)
             {
                 continue;
             }
             let has_partial =
-                self.connections.get(&token).is_some_and(|connection| connection.line.partial());
+                self.connections.get(&token).is_some_and(|connection| connection.line.has_partial_message());
             if !(may_await_partial && has_partial) {
                 self.shut_down_write(shared, token, reason);
             }
@@ -104,11 +104,11 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         debug!(shared.log, "viewer connection shut down for writing"; "connection" => token,
             "why" => ?reason);
-        if connection.line.finish().is_err() {
+        if connection.line.shutdown_write().is_err() {
             return self.close(shared, token, reason); // the connection has failed
         }
         let deadline = shared.now.saturating_add(PEER_CLOSE_TIMEOUT_US);
         connection.state = ConnectionState::HalfClosed { reason, deadline };
-        shared.deadlines.set(deadline, Due::Viewer(token));
+        shared.deadlines.set(deadline, Deadline::ViewerConnection(token));
     }
 }
--- a/src/net/viewers/connection.rs
+++ b/src/net/viewers/connection.rs
@@ -1,7 +1,7 @@
 //! State of one viewer connection: its buffers, what has been received on it, and which messages have not
 //! been written completely.
 use crate::interface::{Micros, RequestId};
-use crate::net::line::Line;
+use crate::net::connection::Connection;
 use std::collections::VecDeque;
 
 /// Time for a new connection to send its first bytes before it may be evicted.
@@ -86,14 +86,14 @@
 }
 
 /// A viewer connection.
-pub struct Connection {
-    pub line: Line,
+pub struct ViewerConnection {
+    pub line: Connection,
     pub accepted_at: Micros,
     /// When a complete message was last read; initially when the connection was accepted.
     pub last_message_at: Micros,
     /// Set while reading is paused because too much data waits to be read by the client.
     pub stalled: Option<Stall>,
-    /// Total number of bytes read, as of the last [`Connection::record_read`].
+    /// Total number of bytes read, as of the last [`ViewerConnection::record_read`].
     read_total: u64,
     /// Set while the last message has not been received completely.
     pub partial: Option<PartialMessage>,
@@ -120,10 +120,10 @@
     unsent: VecDeque<(u64, UnsentMessage)>,
 }
 
-impl Connection {
+impl ViewerConnection {
     /// Creates the state of a connection that was just accepted.
-    pub fn new(line: Line, now: Micros) -> Self {
-        Connection {
+    pub fn new(line: Connection, now: Micros) -> Self {
+        ViewerConnection {
             line,
             accepted_at: now,
             last_message_at: now,
@@ -152,7 +152,7 @@
             self.last_message_at = now;
             self.partial = None;
         }
-        if self.line.partial() {
+        if self.line.has_partial_message() {
             let started_at = self.partial.map_or(now, |partial| partial.started_at);
             self.partial = Some(PartialMessage { started_at, last_read_at: now });
         }
@@ -187,7 +187,7 @@
         }
         let past_grace = self.answered || self.accepted_at.saturating_add(NEW_CONNECTION_GRACE_US) <= now;
         let is_reading =
-            self.line.unwritten() > 0 && self.last_message_at.saturating_add(IDLE_TIMEOUT_US) > now;
+            self.line.unwritten_len() > 0 && self.last_message_at.saturating_add(IDLE_TIMEOUT_US) > now;
         past_grace && !is_reading && !self.broken && self.last_message_at < now
     }
 
@@ -212,8 +212,8 @@
         while self.unsent.front().is_some_and(|(end, _)| *end <= written_total) {
             self.unsent.pop_front();
         }
-        self.line.put(bytes);
-        let end = self.line.put_total();
+        self.line.queue(bytes);
+        let end = self.line.queued_total();
         self.unsent.extend(tracked.map(|message| (end, message)));
     }
 
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -6,14 +6,16 @@
 mod connection;
 mod sends;
 
-use super::line::{Got, Line};
-use super::part::{Part, Ready};
-use super::poll::{Token, Watched};
-use super::shared::{Due, Heard, Shared};
+use super::component::{Component, Ready};
+use super::connection::{Connection, ReadOutcome};
+use super::poll::{Registered, Token};
+use super::shared::{Deadline, Event, Shared};
 use crate::director::{Director, ViewerLink};
 use crate::interface::Micros;
 use crate::platform::viewer::{self, ViewerMessage};
-use connection::{CloseReason, Connection, ConnectionState, MESSAGE_TIMEOUT_US, NEW_CONNECTION_GRACE_US};
+use connection::{
+    CloseReason, ConnectionState, MESSAGE_TIMEOUT_US, NEW_CONNECTION_GRACE_US, ViewerConnection,
+};
 use slog::{debug, warn};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -44,8 +46,8 @@
 /// The listener and the viewer connections.
 pub struct Viewers {
     /// `None` once the grace period at shutdown is over.
-    listener: Option<Watched<TcpListener>>,
-    connections: BTreeMap<Token, Connection>,
+    listener: Option<Registered<TcpListener>>,
+    connections: BTreeMap<Token, ViewerConnection>,
     max_connections: usize,
     /// Ends of sessions that wait for a viewer connection to be sent on, with the time of queueing.
     queued_releases: VecDeque<(Micros, Vec<u8>)>,
@@ -59,7 +61,7 @@
     /// Accepts connections from a listener, up to `max_connections` at a time.
     pub fn new(shared: &mut Shared, listener: TcpListener, max_connections: usize) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
-        let listener = shared.poll.watch(listener, false)?;
+        let listener = shared.poll.register(listener, false)?;
         Ok(Viewers {
             listener: Some(listener),
             connections: BTreeMap::new(),
@@ -101,7 +103,7 @@
     }
 
     fn add_connection(&mut self, shared: &mut Shared, stream: TcpStream) {
-        let line = match Line::accepted(&mut shared.poll, stream) {
+        let line = match Connection::accepted(&mut shared.poll, stream) {
             Ok(line) => line,
             Err(error) => {
                 return warn!(shared.log, "cannot set up an accepted viewer connection: {error}");
@@ -109,8 +111,8 @@
         };
         shared.counters.viewer_connections += 1;
         let token = line.token();
-        self.connections.insert(token, Connection::new(line, shared.now));
-        shared.wake(MESSAGE_TIMEOUT_US, Due::Viewer(token));
+        self.connections.insert(token, ViewerConnection::new(line, shared.now));
+        shared.schedule(MESSAGE_TIMEOUT_US, Deadline::ViewerConnection(token));
     }
 
     /// Closes one connection without a pending request that had time to send one, if there is any.
@@ -135,9 +137,9 @@
     /// Reads from a connection that is about to be closed. Returns whether a message or the end of input was
     /// received; the caller then must not close it.
     fn read_before_close(&mut self, shared: &mut Shared, token: Token) -> bool {
-        let heard_before = shared.heard.len();
+        let heard_before = shared.events.len();
         self.read_and_write(shared, Ready { token, readable: true, writable: false });
-        shared.heard.len() > heard_before
+        shared.events.len() > heard_before
     }
 
     fn evict(&mut self, shared: &mut Shared, token: Token, reason: CloseReason) {
@@ -153,14 +155,16 @@
         let Some(connection) = self.connections.get(&token) else { return };
         match connection.state {
             ConnectionState::Open => {}
-            ConnectionState::Closing { .. } => return shared.wake(CHECK_INTERVAL_US, Due::Viewer(token)),
+            ConnectionState::Closing { .. } => {
+                return shared.schedule(CHECK_INTERVAL_US, Deadline::ViewerConnection(token));
+            }
             ConnectionState::HalfClosed { reason, deadline } if deadline <= shared.now => {
                 return self.close(shared, token, reason);
             }
             ConnectionState::HalfClosed { .. } => return,
         }
         let (pending, sessions) = director.requests_and_sessions_on(ViewerLink(token));
-        let is_overdue = |connection: &Connection| connection.is_overdue(shared.now, sessions);
+        let is_overdue = |connection: &ViewerConnection| connection.is_overdue(shared.now, sessions);
         if pending == 0 && is_overdue(connection) {
             let received = self.read_before_close(shared, token);
             if !received && self.connections.get(&token).is_some_and(|c| c.is_overdue(shared.now, sessions)) {
@@ -168,15 +172,15 @@
                 return self.shut_down_write(shared, token, CloseReason::Silent);
             }
         }
-        shared.wake(CHECK_INTERVAL_US, Due::Viewer(token));
+        shared.schedule(CHECK_INTERVAL_US, Deadline::ViewerConnection(token));
     }
 
     /// Stops accepting for a short time. Without the pause the waiting connections would wake the event loop
     /// again immediately.
     fn pause_accepting(&mut self, shared: &mut Shared) {
-        let paused = self.listener.as_mut().is_some_and(|l| l.interest(false, false).is_ok());
+        let paused = self.listener.as_mut().is_some_and(|l| l.set_interest(false, false).is_ok());
         if paused {
-            shared.wake(ACCEPT_PAUSE_US, Due::Accept);
+            shared.schedule(ACCEPT_PAUSE_US, Deadline::ResumeAccept);
         }
     }
 
@@ -184,7 +188,7 @@
     pub fn stop_accepting(&mut self, shared: &Shared) {
         self.stopped_accepting = true;
         let Some(listener) = &mut self.listener else { return };
-        if let Err(error) = listener.interest(false, false) {
+        if let Err(error) = listener.set_interest(false, false) {
             warn!(shared.log, "cannot stop polling the viewer listener: {error}");
         }
     }
@@ -202,17 +206,17 @@
     /// only those without a session. A connection on which a message has arrived meanwhile is read instead of
     /// closed. A new connection first has time to send its first message.
     pub fn close_idle_connections(&mut self, shared: &mut Shared, director: &Director, all: bool) {
-        let if_idle = |(token, c): (&Token, &Connection)| {
+        let if_idle = |(token, c): (&Token, &ViewerConnection)| {
             let past_grace =
                 c.answered || c.accepted_at.saturating_add(NEW_CONNECTION_GRACE_US) <= shared.now;
             let (pending, sessions) = director.requests_and_sessions_on(ViewerLink(*token));
-            let idle = c.state == ConnectionState::Open && past_grace && c.line.unwritten() == 0;
+            let idle = c.state == ConnectionState::Open && past_grace && c.line.unwritten_len() == 0;
             (pending == 0 && (all || sessions == 0) && idle).then_some(*token)
         };
         let idle_tokens: Vec<Token> = self.connections.iter().filter_map(if_idle).collect();
         for token in idle_tokens {
             let received = self.read_before_close(shared, token);
-            let has_partial = self.connections.get(&token).is_some_and(|c| c.line.partial());
+            let has_partial = self.connections.get(&token).is_some_and(|c| c.line.has_partial_message());
             if !received && !has_partial {
                 shared.counters.viewers_sent_away += 1;
                 self.shut_down_write(shared, token, CloseReason::Drain);
@@ -226,7 +230,7 @@
             return;
         }
         let Some(listener) = &mut self.listener else { return };
-        if let Err(error) = listener.interest(true, false) {
+        if let Err(error) = listener.set_interest(true, false) {
             warn!(shared.log, "cannot resume polling the viewer listener: {error}");
         }
         self.accept(shared, director);
@@ -246,32 +250,34 @@
         let read_result = connection.line.read();
         connection.reset |= read_result.is_err();
         if !connection.accepts_messages() {
-            connection.line.discard();
-            connection.broken |= !matches!(read_result, Ok(Got::Bytes));
+            connection.line.discard_read();
+            connection.broken |= !matches!(read_result, Ok(ReadOutcome::Open));
             if connection.broken {
-                shared.heard.push(Heard::Closed(token));
+                shared.events.push(Event::ViewerClosed(token));
             }
             return;
         }
-        let (messages, parse_error) = connection.line.take(viewer::read);
+        let (messages, parse_error) = connection.line.take_messages(viewer::read);
         connection.record_read(shared.now, !messages.is_empty());
         let newly_identified =
             !connection.is_viewer && messages.iter().any(|m| matches!(m, ViewerMessage::SetUp(_)));
         connection.is_viewer |= newly_identified;
-        connection.broken |= !matches!(read_result, Ok(Got::Bytes));
+        connection.broken |= !matches!(read_result, Ok(ReadOutcome::Open));
         let broken = connection.broken;
         if let Some(error) = parse_error {
             shared.counters.malformed += 1;
             debug!(shared.log, "closing a viewer connection after a malformed message: {error}");
-            connection.line.discard();
+            connection.line.discard_read();
             self.begin_close(shared, token, CloseReason::Malformed);
         }
         if let Err(error) = &read_result {
             debug!(shared.log, "viewer connection failed: {error}");
         }
-        shared.heard.extend(messages.into_iter().map(|message| Heard::Viewer(ViewerLink(token), message)));
+        shared
+            .events
+            .extend(messages.into_iter().map(|message| Event::ViewerMessage(ViewerLink(token), message)));
         if broken {
-            shared.heard.push(Heard::Closed(token));
+            shared.events.push(Event::ViewerClosed(token));
         } else if newly_identified {
             self.send_queued_releases(shared);
         }
@@ -283,12 +289,12 @@
     }
 }
 
-impl Part for Viewers {
+impl Component for Viewers {
     fn owns(&self, token: Token) -> bool {
         self.connections.contains_key(&token) || self.is_listener(token)
     }
 
-    fn ready(&mut self, shared: &mut Shared, director: &Director, ready: Ready) {
+    fn on_ready(&mut self, shared: &mut Shared, director: &Director, ready: Ready) {
         if self.is_listener(ready.token) {
             self.accept(shared, director);
         } else {
@@ -296,10 +302,10 @@
         }
     }
 
-    fn due(&mut self, shared: &mut Shared, director: &Director, due: Due) -> bool {
+    fn on_deadline(&mut self, shared: &mut Shared, director: &Director, due: Deadline) -> bool {
         match due {
-            Due::Viewer(token) => self.check_connection(shared, token, director),
-            Due::Accept => self.resume_accepting(shared, director),
+            Deadline::ViewerConnection(token) => self.check_connection(shared, token, director),
+            Deadline::ResumeAccept => self.resume_accepting(shared, director),
             _ => return false,
         }
         true
--- a/src/net/viewers/sends.rs
+++ b/src/net/viewers/sends.rs
@@ -1,10 +1,10 @@
 //! Messages to viewers: final answers, which are sent on the connection of the request, and ends of sessions,
 //! which may be sent on any viewer connection or wait for the next one.
 use super::Viewers;
-use super::connection::{CloseReason, Connection, Stall, UnsentMessage};
+use super::connection::{CloseReason, Stall, UnsentMessage, ViewerConnection};
 use crate::director::{Input, ViewerLink};
 use crate::interface::{Micros, RequestId};
-use crate::net::part::Ready;
+use crate::net::component::Ready;
 use crate::net::poll::Token;
 use crate::net::shared::Shared;
 use crate::platform::viewer;
@@ -95,7 +95,7 @@
     fn flush(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         match connection.line.write() {
-            Ok(_) if connection.line.unwritten() <= MAX_UNWRITTEN_BYTES => {}
+            Ok(_) if connection.line.unwritten_len() <= MAX_UNWRITTEN_BYTES => {}
             Ok(_) => self.pause_reading(shared, token),
             Err(error) => {
                 debug!(shared.log, "viewer connection failed: {error}");
@@ -115,17 +115,18 @@
             "connection" => token);
         connection.stalled =
             Some(Stall { since: shared.now, written_total: connection.line.written_total() });
-        if connection.line.watch_reads(false).is_err() {
+        if connection.line.set_read_interest(false).is_err() {
             self.mark_broken(shared, token);
         }
     }
 
     /// Resumes reading once the client has read enough of the pending data.
     pub(super) fn resume_reading(&mut self, shared: &mut Shared, token: Token) {
-        let may_resume = |c: &Connection| c.stalled.is_some() && c.line.unwritten() <= MAX_UNWRITTEN_BYTES;
+        let may_resume =
+            |c: &ViewerConnection| c.stalled.is_some() && c.line.unwritten_len() <= MAX_UNWRITTEN_BYTES;
         let Some(connection) = self.connections.get_mut(&token).filter(|c| may_resume(c)) else { return };
         connection.stalled = None;
-        if connection.line.watch_reads(true).is_err() {
+        if connection.line.set_read_interest(true).is_err() {
             self.mark_broken(shared, token);
         }
     }
@@ -158,7 +159,7 @@
 
     /// Returns whether a connection that has not failed has unwritten data.
     pub fn has_pending_writes(&self) -> bool {
-        self.connections.values().any(|c| !c.broken && c.line.unwritten() > 0)
+        self.connections.values().any(|c| !c.broken && c.line.unwritten_len() > 0)
     }
 
     /// Removes a connection. Its pending requests end, undelivered answers are reported to the core, and
@@ -166,7 +167,7 @@
     pub(super) fn close(&mut self, shared: &mut Shared, token: Token, reason: CloseReason) {
         let Some(connection) = self.connections.remove(&token) else { return };
         debug!(shared.log, "viewer connection closed"; "connection" => token,
-            "why" => ?reason, "unwritten" => connection.line.unwritten());
+            "why" => ?reason, "unwritten" => connection.line.unwritten_len());
         shared.inputs.push(Input::LinkLost(ViewerLink(token)));
         let unread = connection.possibly_unread_answers(shared.now);
         for unsent in connection.into_unsent() {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -26,10 +26,10 @@
 
 /// Waits until the drain takes effect, then checks that a set-up is refused, as no streamer accepts any.
 fn assert_set_ups_refused(rig: &Rig) {
-    until("the drain takes effect", || rig.figure("out_of_rotation") == 1);
+    wait_until("the drain takes effect", || rig.metric("out_of_rotation") == 1);
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf1, "replay")).expect("written");
-    let (kind, id, parameters) = hear(&mut viewer);
+    let (kind, id, parameters) = read_message(&mut viewer);
     assert_eq!((kind, id, &parameters[..4]), (12, 0xf1, &[58, 0, 1, 42][..]), "refused at once");
 }
 
@@ -37,25 +37,25 @@
 /// requested again and sent again, endlessly.
 #[test]
 fn a_full_list_after_a_gap_replaces_the_missing_events() {
-    let rig = Rig::with_door();
-    let (mut source, request) = accept_request(&rig.bulletin);
+    let rig = Rig::with_admin();
+    let (mut source, request) = accept_request(&rig.discovery);
     assert_eq!(request, "after 1");
     source.write_all(event_line(&rig, 7, true, "terminating").as_bytes()).expect("written");
     source.write_all(b"7\n").expect("written");
     assert_set_ups_refused(&rig);
     drop(source);
-    assert_eq!(accept_request(&rig.bulletin).1, "after 7");
+    assert_eq!(accept_request(&rig.discovery).1, "after 7");
 }
 
 /// A delta after a gap does not replace the missing events: they are requested again, and viewers are served
 /// meanwhile.
 #[test]
 fn events_missing_before_a_delta_are_requested_again() {
-    let rig = Rig::with_door();
-    let (mut source, _) = accept_request(&rig.bulletin);
+    let rig = Rig::with_admin();
+    let (mut source, _) = accept_request(&rig.discovery);
     source.write_all(event_line(&rig, 3, false, "terminating").as_bytes()).expect("written");
     assert_eq!(source.read(&mut [0]).unwrap_or(0), 0, "closed by the director");
-    let (mut source, request) = accept_request(&rig.bulletin);
+    let (mut source, request) = accept_request(&rig.discovery);
     assert_eq!(request, "after 1");
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf2, "replay")).expect("written");
@@ -69,12 +69,12 @@
 /// once.
 #[test]
 fn a_truncated_event_is_requested_again_and_duplicates_are_ignored() {
-    let rig = Rig::with_door();
-    let (mut source, _) = accept_request(&rig.bulletin);
+    let rig = Rig::with_admin();
+    let (mut source, _) = accept_request(&rig.discovery);
     let drain = event_line(&rig, 2, false, "terminating");
     source.write_all(&drain.as_bytes()[..40]).expect("written");
     drop(source);
-    let (mut source, request) = accept_request(&rig.bulletin);
+    let (mut source, request) = accept_request(&rig.discovery);
     assert_eq!(request, "after 1", "a partial event does not count");
     source.write_all(drain.as_bytes()).expect("written");
     assert_set_ups_refused(&rig);
@@ -83,17 +83,17 @@
         event_line(&rig, 1, true, "in_service") + &event_line(&rig, 2, false, "in_service") + "1\n0\n";
     source.write_all(duplicates.as_bytes()).expect("written");
     source.write_all(event_line(&rig, 3, false, "terminating").as_bytes()).expect("written");
-    until("the next event is applied", || rig.figure("list_changes") == 3);
+    wait_until("the next event is applied", || rig.metric("list_changes") == 3);
     assert_set_ups_refused(&rig);
 }
 
 /// A source that kept sending unreadable lines was contacted again every 50 ms by every director.
 #[test]
 fn reconnection_backs_off_while_events_are_unusable() {
-    let rig = Rig::with_door();
+    let rig = Rig::with_admin();
     let mut started_at = Instant::now();
     for connection in 0..6 {
-        let (mut source, request) = accept_request(&rig.bulletin);
+        let (mut source, request) = accept_request(&rig.discovery);
         assert_eq!(request, "after 1");
         if connection == 0 {
             started_at = Instant::now();
@@ -103,7 +103,7 @@
     // The delays are 50, 100, 200, 400 and 800 ms. Without the backoff they would add up to 250 ms.
     assert!(started_at.elapsed() >= Duration::from_millis(1_500), "{:?}", started_at.elapsed());
     // A usable event resets the delay, so that the source is contacted promptly if it disconnects again.
-    let (mut source, _) = accept_request(&rig.bulletin);
+    let (mut source, _) = accept_request(&rig.discovery);
     source.write_all(event_line(&rig, 2, false, "terminating").as_bytes()).expect("written");
     assert_set_ups_refused(&rig);
 }
@@ -112,31 +112,31 @@
 #[test]
 fn a_connection_without_heartbeats_is_closed() {
     let rig = Rig::start();
-    let (mut source, _) = accept_request(&rig.bulletin);
+    let (mut source, _) = accept_request(&rig.discovery);
     source.write_all(b"1\n").expect("written");
     assert_eq!(source.read(&mut [0]).unwrap_or(0), 0, "closed by the director");
-    assert_eq!(accept_request(&rig.bulletin).1, "after 1");
+    assert_eq!(accept_request(&rig.discovery).1, "after 1");
 }
 
 /// SIGHUP changes the source's address while the old source is in the middle of an event: nothing more from
 /// the old source is applied, and no event is lost.
 #[test]
 fn sighup_during_an_event_discards_the_part_from_the_old_source() {
-    let rig = Rig::with_door();
-    let (mut old_source, _) = accept_request(&rig.bulletin);
+    let rig = Rig::with_admin();
+    let (mut old_source, _) = accept_request(&rig.discovery);
     let in_service = event_line(&rig, 2, false, "in_service");
     old_source.write_all(&in_service.as_bytes()[..40]).expect("written");
-    let new_listener = listener();
+    let new_listener = bind_listener();
     let file = rig.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("readable");
     let [old_address, new_address] =
-        [&*rig.bulletin, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
+        [&*rig.discovery, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
     std::fs::write(&file, text.replace(&old_address, &new_address)).expect("written");
-    rig.stop();
+    rig.suspend();
     // When the director resumes, the signal and the rest of the event on the old connection are both pending.
     rig.signal("-HUP");
     let _ = old_source.write_all(&in_service.as_bytes()[40..]);
-    rig.go_on();
+    rig.resume();
     let (mut new_source, request) = accept_request(&new_listener);
     assert_eq!(request, "after 1", "the partial event from the old source does not count");
     new_source.write_all(event_line(&rig, 2, false, "terminating").as_bytes()).expect("written");
@@ -148,12 +148,12 @@
 #[test]
 fn a_reload_of_a_foreign_configuration_changes_nothing() {
     let mut rig = Rig::start();
-    let (_source, _) = accept_request(&rig.bulletin);
+    let (_source, _) = accept_request(&rig.discovery);
     let file = rig.folder.join("config.json");
     let text = std::fs::read_to_string(&file).expect("readable");
-    let new_listener = listener();
+    let new_listener = bind_listener();
     let [old_address, new_address] =
-        [&*rig.bulletin, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
+        [&*rig.discovery, &new_listener].map(|listener| listener.local_addr().expect("bound").to_string());
     let with_new_address = text.replace(&old_address, &new_address);
     let foreign_configurations = [
         (with_new_address.replace("seat-view", "highlight"), "classes are those of another deployment"),
@@ -172,7 +172,11 @@
     }
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf3, "highlight")).expect("written");
-    assert_eq!(hear(&mut viewer), (12, 0xf3, vec![58, 0, 1, 41]), "the other deployment's class is unknown");
+    assert_eq!(
+        read_message(&mut viewer),
+        (12, 0xf3, vec![58, 0, 1, 41]),
+        "the other deployment's class is unknown"
+    );
     viewer.write_all(&set_up(0xf4, "seat-view")).expect("written");
     assert!(
         read_rtsp(&mut rig.streamer()).contains("Priority-Class: seat-view\r\n"),
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -13,7 +13,7 @@
 fn accepts_clients(rig: &Rig) -> bool {
     let mut front_end = rig.viewer();
     front_end.write_all(&message(52, 7, &[(58, &[0])])).expect("written");
-    match hear(&mut front_end) {
+    match read_message(&mut front_end) {
         (53, 7, parameters) => parameters == [58, 0, 1, 1],
         other => panic!("the front end received {other:?}"),
     }
@@ -28,8 +28,8 @@
 /// Sends a set-up and establishes its session.
 fn establish_session(viewer: &mut TcpStream, streamer: &mut TcpStream, id: u64) {
     start_attempt(viewer, streamer, id);
-    streamer.write_all(&stands(id, "answer")).expect("written");
-    assert_eq!(hear(viewer).0, 9);
+    streamer.write_all(&established_response(id, "answer")).expect("written");
+    assert_eq!(read_message(viewer).0, 9);
 }
 
 /// Establishes the first session, on new connections of a viewer and the streamer.
@@ -38,8 +38,8 @@
     viewer.write_all(&set_up(id, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(id, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(id, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     (viewer, streamer)
 }
 
@@ -49,16 +49,12 @@
 
 /// The set-up message that hands over an established session. It is not answered.
 fn handed_over_session(id: u64, at: &str) -> Vec<u8> {
-    let parameters = format!("home:0;copies:1;top:1;viewer:00000000b4d65521;at:{at}");
-    message(
-        1,
-        id,
-        &[(16, b"replay"), (19, b"20000"), (28, b"7f3a"), (31, parameters.as_bytes()), (61, b"offer")],
-    )
+    let text = format!("home:0;copies:1;top:1;viewer:00000000b4d65521;at:{at}");
+    message(1, id, &[(16, b"replay"), (19, b"20000"), (28, b"7f3a"), (31, text.as_bytes()), (61, b"offer")])
 }
 
 fn metrics(rig: &Rig) -> BTreeMap<String, u64> {
-    let (status, body) = rig.call("GET", "/_vars");
+    let (status, body) = rig.admin_call("GET", "/_vars");
     assert_eq!(status, 200);
     let parse_line = |line: &str| {
         let (name, value) = line.split_once('=').expect("name=value");
@@ -69,8 +65,8 @@
 
 #[test]
 fn admin_requests_are_answered_once_and_invalid_ones_rejected() {
-    let rig = Rig::with_door();
-    assert_eq!(rig.call("GET", "/_ready").0, 200);
+    let rig = Rig::with_admin();
+    assert_eq!(rig.admin_call("GET", "/_ready").0, 200);
     for (method, path, status) in [
         ("PUT", "/_ready", 405),
         ("GET", "/_lameduck/on", 405),
@@ -78,20 +74,20 @@
         ("GET", "/", 404),
         ("DELETE", "/_vars", 405),
     ] {
-        assert_eq!(rig.call(method, path).0, status, "{method} {path}");
+        assert_eq!(rig.admin_call(method, path).0, status, "{method} {path}");
     }
-    let address = rig.door.expect("an admin address");
+    let address = rig.admin.expect("an admin address");
     for (request, status) in [(&b"\x16\x03\x01 no HTTP\r\n\r\n"[..], 400), (&[b'A'; 5_000], 431)] {
         let mut stream = TcpStream::connect(address).expect("connected");
         stream.write_all(request).expect("written");
-        assert_eq!(answered(stream).0, status);
+        assert_eq!(read_http_response(stream).0, status);
     }
     // Sent byte by byte, with a second request behind the first.
     let mut stream = TcpStream::connect(address).expect("connected");
     for byte in b"GET /_ready?now HTTP/1.1\r\nHost: x\r\n\r\nGET /_ready HTTP/1.1\r\n\r\n" {
         stream.write_all(&[*byte]).expect("written");
     }
-    assert_eq!(answered(stream).0, 200);
+    assert_eq!(read_http_response(stream).0, 200);
     assert!(accepts_clients(&rig), "viewers are not affected");
 }
 
@@ -99,8 +95,8 @@
 /// answered, and viewers are served meanwhile.
 #[test]
 fn idle_admin_connections_do_not_block_new_ones() {
-    let rig = Rig::with_door();
-    let address = rig.door.expect("an admin address");
+    let rig = Rig::with_admin();
+    let address = rig.admin.expect("an admin address");
     let mut idle = Vec::new();
     for i in 0..1_000 {
         let mut stream = TcpStream::connect(address).expect("connected or queued");
@@ -109,7 +105,7 @@
         }
         idle.push(stream);
         if i % 100 == 99 {
-            assert_eq!(rig.call("GET", "/_vars").0, 200);
+            assert_eq!(rig.admin_call("GET", "/_vars").0, 200);
             assert!(accepts_clients(&rig));
         }
     }
@@ -117,13 +113,13 @@
     let mut latencies: Vec<_> = (0..200)
         .map(|_| {
             let started_at = std::time::Instant::now();
-            assert_eq!(rig.call("GET", "/_ready").0, 200);
+            assert_eq!(rig.admin_call("GET", "/_ready").0, 200);
             started_at.elapsed()
         })
         .collect();
     latencies.sort_unstable();
     println!("request beside 1,000 idle connections: p50 {:?}, p99 {:?}", latencies[100], latencies[198]);
-    assert_eq!(rig.call("PUT", "/_lameduck/off").0, 200);
+    assert_eq!(rig.admin_call("PUT", "/_lameduck/off").0, 200);
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", rig.child.id())).expect("descriptors").count();
     assert!(descriptors < 64, "{descriptors} descriptors in use with 1,000 admin connections");
 }
@@ -132,7 +128,7 @@
 fn without_an_address_there_is_no_admin_interface() {
     let mut rig = Rig::start();
     let without = std::fs::read_dir(format!("/proc/{}/fd", rig.child.id())).expect("descriptors").count();
-    let other = Rig::with_door();
+    let other = Rig::with_admin();
     let with = std::fs::read_dir(format!("/proc/{}/fd", other.child.id())).expect("descriptors").count();
     assert_eq!(with, without + 1, "only the listener is added");
     rig.signal("-USR1");
@@ -143,7 +139,7 @@
 #[test]
 fn metrics_match_the_requests_that_peers_counted() {
     let single_attempt = common::SETTINGS_JSON.replace(r#""max_attempts": 4"#, r#""max_attempts": 1"#);
-    let rig = Rig::with_door_and(&single_attempt);
+    let rig = Rig::with_admin_and_settings(&single_attempt);
     let (mut viewer, mut streamer) = connect_and_establish(&rig, 0x10);
     let mut relayed = 1;
     for id in 0x11..0x18 {
@@ -151,8 +147,8 @@
         relayed += 1;
     }
     for id in 0x11..0x15 {
-        streamer.write_all(&over(id)).expect("written");
-        assert_eq!(hear(&mut viewer).0, 12);
+        streamer.write_all(&teardown(id)).expect("written");
+        assert_eq!(read_message(&mut viewer).0, 12);
     }
     start_attempt(&mut viewer, &mut streamer, 0x40);
     relayed += 1;
@@ -166,7 +162,7 @@
         if id == 0x32 {
             viewer.write_all(&set_up(id, "seat-view")).expect("written");
         }
-        let (kind, session, parameters) = hear(&mut viewer);
+        let (kind, session, parameters) = read_message(&mut viewer);
         assert_eq!((kind, session, parameters[3]), (12, id, cause));
     }
     let metrics = metrics(&rig);
@@ -186,57 +182,61 @@
 /// Then clients are accepted again.
 #[test]
 fn lame_duck_closes_idle_connections_and_can_be_left() {
-    let rig = Rig::with_door();
+    let rig = Rig::with_admin();
     let (mut viewer, mut streamer) = connect_and_establish(&rig, 0xa1);
     let mut idle_viewer = rig.viewer();
     idle_viewer.write_all(&set_up(0xb0, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut idle_viewer).0, 12);
+    assert_eq!(read_message(&mut idle_viewer).0, 12);
     start_attempt(&mut viewer, &mut streamer, 0xa2);
-    assert_eq!(rig.call("PUT", "/_lameduck/on").0, 200);
-    assert!(!accepts_clients(&rig) && rig.call("GET", "/_ready").0 == 503);
+    assert_eq!(rig.admin_call("PUT", "/_lameduck/on").0, 200);
+    assert!(!accepts_clients(&rig) && rig.admin_call("GET", "/_ready").0 == 503);
     assert_closed(idle_viewer);
-    streamer.write_all(&stands(0xa2, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer), (9, 0xa2, [&[61, 0, 6][..], b"answer"].concat()));
+    streamer.write_all(&established_response(0xa2, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer), (9, 0xa2, [&[61, 0, 6][..], b"answer"].concat()));
     // The front end keeps asking on new connections, which do not receive the releases of sessions.
-    streamer.write_all(&over(0xa1)).expect("written");
+    streamer.write_all(&teardown(0xa1)).expect("written");
     assert!(!accepts_clients(&rig));
-    assert_eq!(hear(&mut viewer), (12, 0xa1, vec![58, 0, 1, 16]));
+    assert_eq!(read_message(&mut viewer), (12, 0xa1, vec![58, 0, 1, 16]));
     // All connections are closed before the front end checks; later releases wait until the viewers return.
     assert_closed(viewer);
-    streamer.write_all(&over(0xa2)).expect("written");
+    streamer.write_all(&teardown(0xa2)).expect("written");
     assert!(!accepts_clients(&rig));
-    assert_eq!(rig.call("PUT", "/_lameduck/off").0, 200);
-    assert!(accepts_clients(&rig) && rig.call("GET", "/_ready").0 == 200);
+    assert_eq!(rig.admin_call("PUT", "/_lameduck/off").0, 200);
+    assert!(accepts_clients(&rig) && rig.admin_call("GET", "/_ready").0 == 200);
     let mut returned_viewer = rig.viewer();
     returned_viewer.write_all(&set_up(0xa3, "replay")).expect("written");
-    assert_eq!(hear(&mut returned_viewer), (12, 0xa2, vec![58, 0, 1, 16]), "the waiting release comes first");
+    assert_eq!(
+        read_message(&mut returned_viewer),
+        (12, 0xa2, vec![58, 0, 1, 16]),
+        "the waiting release comes first"
+    );
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(0xa3, "answer")).expect("written");
-    assert_eq!(hear(&mut returned_viewer).0, 9);
+    streamer.write_all(&established_response(0xa3, "answer")).expect("written");
+    assert_eq!(read_message(&mut returned_viewer).0, 9);
 }
 
 /// A request is in flight, on a connection that was kept, when clients are accepted again.
 #[test]
 fn an_attempt_in_flight_when_lame_duck_ends_is_answered_once() {
-    let rig = Rig::with_door();
+    let rig = Rig::with_admin();
     let (mut viewer, mut streamer) = connect_and_establish(&rig, 0xa1);
-    assert_eq!(rig.call("PUT", "/_lameduck/on").0, 200);
+    assert_eq!(rig.admin_call("PUT", "/_lameduck/on").0, 200);
     start_attempt(&mut viewer, &mut streamer, 0xa2);
-    assert_eq!(rig.call("PUT", "/_lameduck/off").0, 200);
-    streamer.write_all(&stands(0xa2, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    assert_eq!(rig.admin_call("PUT", "/_lameduck/off").0, 200);
+    streamer.write_all(&established_response(0xa2, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     establish_session(&mut viewer, &mut streamer, 0xa3); // no other message came before
 }
 
 /// A director that shuts down without a successor keeps connections with sessions and still answers requests.
 #[test]
 fn leaving_lame_duck_during_shutdown_is_refused() {
-    let mut rig = Rig::with_door();
+    let mut rig = Rig::with_admin();
     rig.signal("-TERM");
     next_line(&mut rig.log, "asked to end");
-    let (status, body) = rig.call("PUT", "/_lameduck/off");
+    let (status, body) = rig.admin_call("PUT", "/_lameduck/off");
     assert!(status == 409 && body.contains("ask the one that serves after it"), "{status} {body}");
-    assert!(rig.call("GET", "/_ready").0 == 503 && !accepts_clients(&rig));
+    assert!(rig.admin_call("GET", "/_ready").0 == 503 && !accepts_clients(&rig));
 }
 
 /// Planned restart: a viewer keeps sending while its connection is open. Every request is answered once, but
@@ -244,11 +244,11 @@
 /// without sessions is closed meanwhile, so that nothing more is sent there.
 #[test]
 fn requests_sent_during_shutdown_are_answered() {
-    let mut rig = Rig::with_door();
+    let mut rig = Rig::with_admin();
     let (mut viewer, _streamer) = connect_and_establish(&rig, 0xe0);
     let mut idle_viewer = rig.viewer();
     idle_viewer.write_all(&set_up(0xb0, "unheard-of")).expect("written");
-    assert_eq!(hear(&mut idle_viewer).0, 12);
+    assert_eq!(read_message(&mut idle_viewer).0, 12);
     rig.signal("-TERM");
     next_line(&mut rig.log, "asked to end");
     let (mut sent, mut answered, mut released) = (0_u64, 0_u64, false);
@@ -293,8 +293,8 @@
 
 /// Starts a director on a listening socket held by the test, with a session and an attempt in flight.
 fn start_old_process() -> OldProcess {
-    let socket = listener();
-    let old = Rig::on(&socket, &Arc::new(listener()), &Arc::new(listener()));
+    let socket = bind_listener();
+    let old = Rig::on_listener(&socket, &Arc::new(bind_listener()), &Arc::new(bind_listener()));
     let (mut viewer, mut streamer) = connect_and_establish(&old, 0xc1);
     start_attempt(&mut viewer, &mut streamer, 0xc2);
     OldProcess { socket, old, viewer, streamer }
@@ -305,16 +305,16 @@
 #[test]
 fn an_upgrade_preserves_requests_and_sessions() {
     let OldProcess { socket, mut old, mut viewer, mut streamer } = start_old_process();
-    let new = Rig::on(&socket, &old.streamer, &old.bulletin);
-    assert_eq!(new.call("GET", "/_ready").0, 200, "it accepts clients at once");
+    let new = Rig::on_listener(&socket, &old.streamer, &old.discovery);
+    assert_eq!(new.admin_call("GET", "/_ready").0, 200, "it accepts clients at once");
     old.signal("-TERM");
     next_line(&mut old.log, "asked to end");
     // New connections reach the new process, the only one that accepts clients.
     for _ in 0..20 {
         assert!(accepts_clients(&new));
     }
-    streamer.write_all(&stands(0xc2, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(0xc2, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     assert_closed(viewer);
     assert!(old.child.wait().expect("ended").success(), "it exits by itself");
     // The streamer is not told to end the sessions: its connection just closes.
@@ -325,8 +325,8 @@
     }
     let mut streamer = new.streamer();
     for id in [0xc1, 0xc2] {
-        streamer.write_all(&over(id)).expect("written");
-        assert_eq!(hear(&mut viewer), (12, id, vec![58, 0, 1, 16]));
+        streamer.write_all(&teardown(id)).expect("written");
+        assert_eq!(read_message(&mut viewer), (12, id, vec![58, 0, 1, 16]));
     }
 }
 
@@ -334,18 +334,18 @@
 #[test]
 fn a_release_received_before_the_hand_over_is_delivered() {
     let OldProcess { socket, mut old, mut viewer, mut streamer } = start_old_process();
-    let new = Rig::on(&socket, &old.streamer, &old.bulletin);
-    streamer.write_all(&stands(0xc2, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    let new = Rig::on_listener(&socket, &old.streamer, &old.discovery);
+    streamer.write_all(&established_response(0xc2, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     let (mut new_viewer, mut new_streamer) = establish_on_new_process(&new, &old, 0xd1);
     old.signal("-TERM");
     assert_closed(viewer);
     assert!(old.child.wait().expect("ended").success());
-    new_streamer.write_all(&over(0xc1)).expect("written"); // on the only connection that is open now
+    new_streamer.write_all(&teardown(0xc1)).expect("written"); // on the only connection that is open now
     establish_session(&mut new_viewer, &mut new_streamer, 0xd2); // the release was read before this
     let mut viewer = new.viewer();
     viewer.write_all(&handed_over_session(0xc1, "s-1")).expect("written");
-    assert_eq!(hear(&mut viewer), (12, 0xc1, vec![58, 0, 1, 16]));
+    assert_eq!(read_message(&mut viewer), (12, 0xc1, vec![58, 0, 1, 16]));
 }
 
 /// Establishes a session at the new process while the old one still accepts connections from the same socket;
@@ -363,14 +363,14 @@
     let OldProcess { socket, old, mut viewer, mut streamer } = start_old_process();
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_stonewharf"))
         .env("LB_CONFIG", old.folder.join("config.json"))
-        .env("LB_ADMIN_ADDR", old.door.expect("an admin address").to_string()) // in use
+        .env("LB_ADMIN_ADDR", old.admin.expect("an admin address").to_string()) // in use
         .env("LB_INHERITED_FD", std::os::fd::AsRawFd::as_raw_fd(&socket).to_string())
         .output()
         .expect("ran");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success() && stderr.contains("can't listen on"), "{stderr}");
-    streamer.write_all(&stands(0xc2, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(0xc2, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     assert!(accepts_clients(&old));
     establish_session(&mut viewer, &mut streamer, 0xc3);
 }
@@ -379,19 +379,19 @@
 #[test]
 fn a_crash_of_the_new_process_does_not_affect_the_old_one() {
     let OldProcess { socket, mut old, mut viewer, mut streamer } = start_old_process();
-    let mut new = Rig::on(&socket, &old.streamer, &old.bulletin);
-    assert_eq!(new.call("GET", "/_ready").0, 200);
+    let mut new = Rig::on_listener(&socket, &old.streamer, &old.discovery);
+    assert_eq!(new.admin_call("GET", "/_ready").0, 200);
     new.child.kill().expect("killed");
     old.signal("-TERM");
     next_line(&mut old.log, "asked to end");
-    streamer.write_all(&stands(0xc2, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9);
+    streamer.write_all(&established_response(0xc2, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9);
     assert_closed(viewer);
     assert!(old.child.wait().expect("ended").success());
     // A viewer that connects meanwhile waits in the socket's backlog until a third process serves it.
     let mut waiting_viewer = TcpStream::connect(socket.local_addr().expect("bound")).expect("queued");
-    waiting_viewer.set_read_timeout(Some(LONG)).expect("set");
+    waiting_viewer.set_read_timeout(Some(TIMEOUT)).expect("set");
     waiting_viewer.write_all(&message(52, 8, &[(58, &[0])])).expect("written");
-    let _third_process = Rig::on(&socket, &old.streamer, &old.bulletin);
-    assert_eq!(hear(&mut waiting_viewer), (53, 8, vec![58, 0, 1, 1]));
+    let _third_process = Rig::on_listener(&socket, &old.streamer, &old.discovery);
+    assert_eq!(read_message(&mut waiting_viewer), (53, 8, vec![58, 0, 1, 1]));
 }
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -12,27 +12,27 @@
 /// Runs a health check and expects that clients are accepted.
 fn check_health(viewer: &mut TcpStream, id: u64) {
     viewer.write_all(&message(52, id, &[(58, &[0])])).expect("written");
-    assert_eq!(hear(viewer), (53, id, vec![58, 0, 1, 1]));
+    assert_eq!(read_message(viewer), (53, id, vec![58, 0, 1, 1]));
 }
 
 /// At the limit on connections the one with the oldest last message was evicted although a new message had
 /// arrived on it, because the eviction was made before that message was read.
 #[test]
 fn a_received_message_is_processed_before_its_connection_is_evicted() {
-    let rig = Rig::with_door();
+    let rig = Rig::with_admin();
     let mut connections: Vec<TcpStream> = Vec::new();
-    while rig.figure("viewers_shed") == 0 {
+    while rig.metric("viewers_shed") == 0 {
         assert!(connections.len() < 1_000, "the limit is never reached");
         connections.push(rig.viewer());
         let last = connections.len() - 1;
         check_health(&mut connections[last], last as u64 + 1);
     }
     // The first connection was evicted. The second one now has the oldest last message.
-    rig.stop();
+    rig.suspend();
     let newcomer = rig.viewer();
     connections[1].write_all(&message(52, 0x2000, &[(58, &[0])])).expect("written");
-    rig.go_on();
-    assert_eq!(hear(&mut connections[1]), (53, 0x2000, vec![58, 0, 1, 1]), "answered, not closed");
+    rig.resume();
+    assert_eq!(read_message(&mut connections[1]), (53, 0x2000, vec![58, 0, 1, 1]), "answered, not closed");
     drop(newcomer);
 }
 
@@ -40,21 +40,21 @@
 /// discovery is connected again once it is back.
 #[test]
 fn idle_connections_block_neither_requests_nor_discovery() {
-    let rig = Rig::with_door();
-    drop(accept(&rig.bulletin)); // discovery fails and does not respond from now on
+    let rig = Rig::with_admin();
+    drop(accept(&rig.discovery)); // discovery fails and does not respond from now on
     let idle: Vec<TcpStream> = (0..3 * MAX_VIEWER_CONNECTIONS).map(|_| rig.viewer()).collect();
     let mut viewer = rig.viewer();
     viewer.write_all(&set_up(0xf1, "replay")).expect("written");
     let mut streamer = rig.streamer();
     read_rtsp(&mut streamer);
-    streamer.write_all(&stands(0xf1, "answer")).expect("written");
-    assert_eq!(hear(&mut viewer).0, 9, "served");
-    let mut discovery = accept(&rig.bulletin);
+    streamer.write_all(&established_response(0xf1, "answer")).expect("written");
+    assert_eq!(read_message(&mut viewer).0, 9, "served");
+    let mut discovery = accept(&rig.discovery);
     let draining = member("s-1", rig.streamer.local_addr().expect("bound"), "terminating");
     let event = format!("{{\"no\":2,\"roster\":{{\"members\":[{draining}]}}}}\n");
     discovery.write_all(event.as_bytes()).expect("written");
-    until("updates of the list are received again", || rig.figure("out_of_rotation") == 1);
-    assert_eq!(rig.figure("descriptors_out"), 0, "no descriptor was missing");
+    wait_until("updates of the list are received again", || rig.metric("out_of_rotation") == 1);
+    assert_eq!(rig.metric("descriptors_out"), 0, "no descriptor was missing");
     drop(idle);
 }
 
@@ -76,7 +76,7 @@
         let mut viewer = viewer;
         let mut answer_counts: BTreeMap<u64, u32> = BTreeMap::new();
         while answer_counts.len() < REQUESTS as usize {
-            let (kind, id, _) = hear(&mut viewer);
+            let (kind, id, _) = read_message(&mut viewer);
             assert!([9, 12].contains(&kind), "an answer");
             *answer_counts.entry(id).or_default() += 1;
         }
@@ -94,14 +94,14 @@
 #[test]
 fn each_request_of_a_burst_of_connections_is_answered() {
     let rig = Rig::start();
-    rig.stop();
+    rig.suspend();
     let mut new_connections: Vec<TcpStream> = (0..4 * MAX_VIEWER_CONNECTIONS).map(|_| rig.viewer()).collect();
     for (id, viewer) in new_connections.iter_mut().enumerate() {
         viewer.write_all(&set_up(0x3000 + id as u64, "nobody's")).expect("written");
     }
-    rig.go_on();
+    rig.resume();
     for (id, viewer) in new_connections.iter_mut().enumerate() {
-        assert_eq!(hear(viewer), (12, 0x3000 + id as u64, vec![58, 0, 1, 41]));
+        assert_eq!(read_message(viewer), (12, 0x3000 + id as u64, vec![58, 0, 1, 41]));
     }
 }
 
@@ -109,15 +109,15 @@
 /// answers.
 #[test]
 fn a_connection_with_partly_written_answers_is_not_evicted() {
-    let rig = Rig::with_door_and(&common::settings_with_long_timeouts());
-    let HalfWritten { mut viewer, answers, .. } = half_written(&rig);
-    let connections_before = rig.figure("viewer_connections");
-    rig.stop();
+    let rig = Rig::with_admin_and_settings(&common::settings_with_long_timeouts());
+    let UnreadAnswers { mut viewer, answers, .. } = unread_answers(&rig);
+    let connections_before = rig.metric("viewer_connections");
+    rig.suspend();
     let new_connections: Vec<TcpStream> = (0..4 * MAX_VIEWER_CONNECTIONS).map(|_| rig.viewer()).collect();
-    rig.go_on();
-    until("the limit is reached", || rig.figure("viewer_connections") > connections_before);
+    rig.resume();
+    wait_until("the limit is reached", || rig.metric("viewer_connections") > connections_before);
     for _ in 0..answers {
-        assert_eq!(hear(&mut viewer).0, 9, "complete");
+        assert_eq!(read_message(&mut viewer).0, 9, "complete");
     }
     drop(new_connections);
 }
