--- a/crates/halls/src/evidence.rs
+++ b/crates/halls/src/evidence.rs
@@ -7,37 +7,37 @@
 
 /// What a streamer just showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Observation {
     /// It answered, whatever it said: it can be reached.
     Reachable,
     /// No connection to it came up, or one was refused.
     Unreachable,
     /// It can perhaps be reached and says nothing: a set-up or load test ran out of time.
-    Silent,
+    TimedOut,
     /// A connection broke, or its sessions were cut.
-    Cut,
+    ConnectionLost,
 }
 
 /// Chance of a sign from a streamer of a hall that is lost.
-const IF_LOST: f64 = 0.95;
+const PROBABILITY_IF_LOST: f64 = 0.95;
 
-impl Sign {
+impl Observation {
     /// Chance of the sign from a streamer picked from a hall that is whole. The operators saw up to 18% of
     /// streamers stand still at once; processes that restart, and so break connections, come in waves.
-    fn if_whole(self) -> f64 {
+    fn probability_if_healthy(self) -> f64 {
         match self {
-            Sign::Unreachable => 0.05,
-            Sign::Silent => 0.18,
-            Sign::Cut => 0.3,
-            Sign::Reachable => 0.95,
+            Observation::Unreachable => 0.05,
+            Observation::TimedOut => 0.18,
+            Observation::ConnectionLost => 0.3,
+            Observation::Reachable => 0.95,
         }
     }
 
     /// Log of the likelihood ratio, lost over whole.
-    fn weight(self) -> f64 {
+    fn log_likelihood_ratio(self) -> f64 {
         match self {
-            Sign::Reachable => ((1.0 - IF_LOST) / self.if_whole()).ln(),
-            bad => (IF_LOST / bad.if_whole()).ln(),
+            Observation::Reachable => ((1.0 - PROBABILITY_IF_LOST) / self.probability_if_healthy()).ln(),
+            failure => (PROBABILITY_IF_LOST / failure.probability_if_healthy()).ln(),
         }
     }
 }
@@ -45,68 +45,72 @@
 /// The signs of one hall since the first bad one that still counts.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    bad: BTreeMap<StreamerId, (Micros, Sign)>,
+    failing: BTreeMap<StreamerId, (Micros, Observation)>,
     /// Streamers that answered after the first bad sign; before it nobody needs to be remembered.
-    good: BTreeMap<StreamerId, Micros>,
+    answering: BTreeMap<StreamerId, Micros>,
 }
 
 impl Evidence {
-    /// Takes a sign; those older than `span` no longer count.
-    pub fn take(&mut self, now: Micros, streamer: StreamerId, sign: Sign, span: Micros) {
-        if sign == Sign::Reachable {
-            self.bad.remove(&streamer);
-            if !self.bad.is_empty() {
-                self.good.insert(streamer, now);
+    /// Takes a sign; those older than `max_age` no longer count.
+    pub fn record(&mut self, now: Micros, streamer: StreamerId, observation: Observation, max_age: Micros) {
+        if observation == Observation::Reachable {
+            self.failing.remove(&streamer);
+            if !self.failing.is_empty() {
+                self.answering.insert(streamer, now);
             }
         } else {
-            self.good.remove(&streamer);
+            self.answering.remove(&streamer);
             // The heavier sign stays: a streamer that can't be reached does not become likelier for a
             // time-out.
-            let weight = |s: Sign| s.weight();
-            let kept = self.bad.get(&streamer).filter(|b| weight(b.1) > weight(sign)).map_or(sign, |b| b.1);
-            self.bad.insert(streamer, (now, kept));
+            let weight = |o: Observation| o.log_likelihood_ratio();
+            let kept = self
+                .failing
+                .get(&streamer)
+                .filter(|known| weight(known.1) > weight(observation))
+                .map_or(observation, |known| known.1);
+            self.failing.insert(streamer, (now, kept));
         }
-        self.fade(now, span);
+        self.expire(now, max_age);
     }
 
-    /// Forgets what is older than `span`, and the good signs with the last bad one.
-    pub fn fade(&mut self, now: Micros, span: Micros) {
-        if self.bad.is_empty() {
-            return self.good.clear();
+    /// Forgets what is older than `max_age`, and the good signs with the last bad one.
+    pub fn expire(&mut self, now: Micros, max_age: Micros) {
+        if self.failing.is_empty() {
+            return self.answering.clear();
         }
-        self.bad.retain(|_, b| b.0 + span >= now);
-        self.good.retain(|_, at| *at + span >= now);
-        if self.bad.is_empty() {
-            self.good.clear();
+        self.failing.retain(|_, entry| entry.0 + max_age >= now);
+        self.answering.retain(|_, at| *at + max_age >= now);
+        if self.failing.is_empty() {
+            self.answering.clear();
         }
     }
 
     /// Forgets a streamer that leaves as planned: its silence tells nothing of the hall.
     pub fn forget(&mut self, streamer: StreamerId) {
-        self.bad.remove(&streamer);
-        self.good.remove(&streamer);
+        self.failing.remove(&streamer);
+        self.answering.remove(&streamer);
     }
 
     /// Starts over.
     pub fn clear(&mut self) {
-        self.bad.clear();
-        self.good.clear();
+        self.failing.clear();
+        self.answering.clear();
     }
 
     /// How many different streamers show a bad sign.
-    pub fn against(&self) -> usize {
-        self.bad.len()
+    pub fn failing_streamers(&self) -> usize {
+        self.failing.len()
     }
 
     /// Log of the likelihood ratio, lost over whole; 0 without evidence.
-    pub fn ratio(&self) -> f64 {
-        let bad: f64 = self.bad.values().map(|b| b.1.weight()).sum();
-        bad + self.good.len() as f64 * Sign::Reachable.weight()
+    pub fn log_likelihood_ratio(&self) -> f64 {
+        let failing: f64 = self.failing.values().map(|entry| entry.1.log_likelihood_ratio()).sum();
+        failing + self.answering.len() as f64 * Observation::Reachable.log_likelihood_ratio()
     }
 
     /// The ratio from which a hall is taken for lost at a chance of a false alarm (Wald's upper bound, with
     /// 0.95 for the power of the test).
-    pub fn bound(false_alarm: f64) -> f64 {
-        (IF_LOST / false_alarm).ln()
+    pub fn loss_threshold(false_alarm: f64) -> f64 {
+        (PROBABILITY_IF_LOST / false_alarm).ln()
     }
 }
--- a/crates/halls/src/lib.rs
+++ b/crates/halls/src/lib.rs
@@ -12,8 +12,8 @@
 mod settings;
 mod spill;
 
-pub use evidence::{Evidence, Sign};
-pub use hall::{Change, Hall, State};
+pub use evidence::{Evidence, Observation};
+pub use hall::{Hall, HallState, Transition};
 pub use limits::{Halls, SharedHalls};
-pub use settings::{HallSettings, Prefer, SettingError};
-pub use spill::Spill;
+pub use settings::{HallPreference, HallSettings, SettingError};
+pub use spill::SpillBudget;
--- a/crates/halls/src/limits.rs
+++ b/crates/halls/src/limits.rs
@@ -1,9 +1,9 @@
 //! All halls together, behind the core's seam: tells each hall its signs, finds which requests spill, and
 //! states the terms. Where all halls are lost none is shut: then no judgement is better than none.
-use crate::evidence::Sign;
-use crate::hall::{Change, Hall, State};
-use crate::settings::{HallSettings, Prefer};
-use crate::spill::Spill;
+use crate::evidence::Observation;
+use crate::hall::{Hall, HallState, Transition};
+use crate::settings::{HallPreference, HallSettings};
+use crate::spill::SpillBudget;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -51,7 +51,7 @@
     halls: BTreeMap<ZoneId, Hall>,
     links_kb: BTreeMap<ZoneId, f64>,
     streamers: HashMap<StreamerId, Place>,
-    spill: Spill,
+    spill: SpillBudget,
     /// Requests with a mark, and when it may go.
     marks: HashMap<RequestId, Mark>,
     fading: VecDeque<(Micros, RequestId)>,
@@ -115,7 +115,7 @@
             halls: BTreeMap::new(),
             links_kb: BTreeMap::new(),
             streamers: HashMap::new(),
-            spill: Spill::new(now),
+            spill: SpillBudget::new(now),
             marks: HashMap::new(),
             fading: VecDeque::new(),
             held: HashMap::new(),
@@ -150,12 +150,12 @@
     }
 
     /// The state of a hall; one that is not on the list is whole.
-    pub fn state(&self, hall: ZoneId) -> State {
-        self.halls.get(&hall).map_or(State::Whole, Hall::state)
+    pub fn state(&self, hall: ZoneId) -> HallState {
+        self.halls.get(&hall).map_or(HallState::Healthy, Hall::state)
     }
 
     /// The account of what spills.
-    pub fn spill(&self) -> &Spill {
+    pub fn spill(&self) -> &SpillBudget {
         &self.spill
     }
 
@@ -172,7 +172,7 @@
     fn tier(&self, class: usize, hall: ZoneId) -> u32 {
         match self.order.get(class).filter(|order| !order.is_empty()) {
             Some(order) => order.get(&hall).copied().unwrap_or(order.len() as u32),
-            None => u32::from(self.own.prefer == Prefer::Home && hall != self.set.zone),
+            None => u32::from(self.own.prefer == HallPreference::Home && hall != self.set.zone),
         }
     }
 
@@ -206,8 +206,8 @@
         let senders = f64::from(self.set.controllers).max(1.0);
         let rate = if self.own.spill_rate > 0.0 { self.own.spill_rate / senders } else { f64::INFINITY };
         let more = ((all - open) / open.max(1.0)).clamp(0.25, 4.0);
-        let expected = (self.held_when_settled * more).max(self.spill.sessions() as f64 + 1.0);
-        self.spill.state(self.own.spill_share * open / senders, rate, expected);
+        let expected = (self.held_when_settled * more).max(self.spill.session_count() as f64 + 1.0);
+        self.spill.set_share(self.own.spill_share * open / senders, rate, expected);
     }
 
     fn relist(
@@ -215,7 +215,7 @@
         scope: ListScope,
         entries: &[stonewharf_core::Entry],
         now: Micros,
-    ) -> Vec<(ZoneId, Change)> {
+    ) -> Vec<(ZoneId, Transition)> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             self.streamers.values_mut().for_each(|p| p.up = false);
         }
@@ -233,11 +233,11 @@
             let (warm, cold) = (self.set.warm_up_us, self.set.cold_capacity_fraction);
             let hall = self.halls.entry(entry.zone).or_insert_with(|| Hall::new(now, warm, cold));
             if !up {
-                hall.left(entry.streamer);
+                hall.streamer_left(entry.streamer);
             }
             let before = self.streamers.insert(entry.streamer, place).and_then(|p| p.started_at);
             if let Some(at) = entry.started_at.filter(|at| up && before.is_none_or(|b| *at > b)) {
-                changes.extend(hall.restarted(now, at).map(|c| (entry.zone, c)));
+                changes.extend(hall.streamer_restarted(now, at).map(|c| (entry.zone, c)));
             }
         }
         // Capacity of each hall: its racks' uplinks where these are less than their links.
@@ -253,7 +253,7 @@
             match links.get(zone) {
                 // Capacity of an emptied hall is remembered: it is what its viewers had.
                 None => {
-                    changes.extend(hall.emptied(now, &self.own).map(|c| (*zone, c)));
+                    changes.extend(hall.no_streamer_running(now, &self.own).map(|c| (*zone, c)));
                 }
                 Some(kb) => {
                     self.links_kb.insert(*zone, *kb);
@@ -265,10 +265,10 @@
         changes
     }
 
-    fn sign(&mut self, now: Micros, from: StreamerId, sign: Sign) -> Option<(ZoneId, Change)> {
+    fn sign(&mut self, now: Micros, from: StreamerId, sign: Observation) -> Option<(ZoneId, Transition)> {
         // One that leaves as planned says nothing of its hall, unless it answers.
-        let place = self.streamers.get(&from).filter(|p| p.up || sign == Sign::Reachable)?;
-        let change = self.halls.get_mut(&place.hall)?.sign(now, from, sign, &self.own)?;
+        let place = self.streamers.get(&from).filter(|p| p.up || sign == Observation::Reachable)?;
+        let change = self.halls.get_mut(&place.hall)?.observe(now, from, sign, &self.own)?;
         Some((place.hall, change))
     }
 
@@ -313,13 +313,13 @@
         }
     }
 
-    fn pass(&mut self, now: Micros) -> Vec<(ZoneId, Change)> {
+    fn pass(&mut self, now: Micros) -> Vec<(ZoneId, Transition)> {
         while let Some((_, id)) = self.fading.front().copied().filter(|f| f.0 <= now) {
             self.fading.pop_front();
             self.marks.remove(&id);
         }
         let own = &self.own;
-        let passed = self.halls.iter_mut().filter_map(|(zone, hall)| Some((*zone, hall.pass(now, own)?)));
+        let passed = self.halls.iter_mut().filter_map(|(zone, hall)| Some((*zone, hall.tick(now, own)?)));
         passed.collect()
     }
 }
@@ -346,9 +346,9 @@
                 None
             }
             Event::ConnectResult { streamer, connected: up } => {
-                Some((*streamer, if *up { Sign::Reachable } else { Sign::Unreachable }))
+                Some((*streamer, if *up { Observation::Reachable } else { Observation::Unreachable }))
             }
-            Event::Started { streamer, .. } => Some((*streamer, Sign::Reachable)),
+            Event::Started { streamer, .. } => Some((*streamer, Observation::Reachable)),
             Event::Note { streamer, kind, value, .. } => {
                 match kind {
                     NoteKind::Delivered if *value > 0.0 && *value < SHORT_DELIVERY => {
@@ -359,7 +359,7 @@
                     }
                     _ => {}
                 }
-                Some((*streamer, Sign::Reachable))
+                Some((*streamer, Observation::Reachable))
             }
             Event::Ended { request, streamer, outcome, report, .. } => {
                 self.held.remove(request);
@@ -367,14 +367,14 @@
                 self.reported(now, *streamer, report);
                 let sign = match outcome {
                     Outcome::Ok | Outcome::Failed | Outcome::QueueFull | Outcome::Garbled => {
-                        Some(Sign::Reachable)
+                        Some(Observation::Reachable)
                     }
-                    Outcome::ConnectError => Some(Sign::Unreachable),
-                    Outcome::TimedOut => Some(Sign::Silent),
-                    Outcome::Reset => Some(Sign::Cut),
+                    Outcome::ConnectError => Some(Observation::Unreachable),
+                    Outcome::TimedOut => Some(Observation::TimedOut),
+                    Outcome::Reset => Some(Observation::ConnectionLost),
                     Outcome::Canceled | Outcome::Ignored => None,
                 };
-                if sign.is_some_and(|s| s != Sign::Reachable)
+                if sign.is_some_and(|s| s != Observation::Reachable)
                     && let Some(hall) = self.streamers.get(streamer).map(|p| p.hall)
                 {
                     self.set_mark(now, *request, |m| m.failed_in = Some(hall));
@@ -384,9 +384,9 @@
             Event::Probed { streamer, outcome, report } => {
                 self.reported(now, *streamer, report);
                 match outcome {
-                    Outcome::Ok => Some((*streamer, Sign::Reachable)),
-                    Outcome::ConnectError => Some((*streamer, Sign::Unreachable)),
-                    Outcome::TimedOut => Some((*streamer, Sign::Silent)),
+                    Outcome::Ok => Some((*streamer, Observation::Reachable)),
+                    Outcome::ConnectError => Some((*streamer, Observation::Unreachable)),
+                    Outcome::TimedOut => Some((*streamer, Observation::TimedOut)),
                     _ => None,
                 }
             }
@@ -406,11 +406,11 @@
         for (zone, change) in changes.into_iter().filter(|_| self.own.enabled) {
             let name = self.name(zone);
             news(match change {
-                Change::Lost(0) => format!("hall {name} is lost: the list says that nothing in it runs"),
-                Change::Lost(n) => format!("hall {name} is lost: {n} different streamers cannot be reached"),
-                Change::Dropped(n) => format!("hall {name} is lost again while it returned, time {n}"),
-                Change::Returns => format!("hall {name} returns, load is raised in steps"),
-                Change::Back => format!("hall {name} is back"),
+                Transition::Lost(0) => format!("hall {name} is lost: the list says that nothing in it runs"),
+                Transition::Lost(n) => format!("hall {name} is lost: {n} streamers cannot be reached"),
+                Transition::LostAgain(n) => format!("hall {name} is lost again while it returned, time {n}"),
+                Transition::Returning => format!("hall {name} returns, load is raised in steps"),
+                Transition::Recovered => format!("hall {name} is back"),
             });
         }
     }
@@ -419,18 +419,18 @@
         self.held.insert(request.id, (streamer, request.class));
         let Some(zone) = self.streamers.get(&streamer).map(|p| p.hall) else { return };
         if self.spills(request, zone) {
-            self.spill.add(now, request.id, self.set.rate_kb(request.class, rung));
+            self.spill.record_set_up(now, request.id, self.set.rate_kb(request.class, rung));
             self.set_mark(now, request.id, |m| m.spills = true);
         }
         let own = &self.own;
         if let Some(hall) = self.halls.get_mut(&zone) {
-            hall.tried(now, own);
+            hall.trial_sent(now, own);
         }
     }
 
     fn rung_changed(&mut self, request: RequestId, rung: usize) {
         if let Some((_, class)) = self.held.get(&request) {
-            self.spill.rate(request, self.set.rate_kb(*class, rung));
+            self.spill.change_rate(request, self.set.rate_kb(*class, rung));
         }
     }
 
@@ -453,11 +453,11 @@
         }
         tier += u32::from(mark.failed_in == Some(place.hall));
         // Where all halls are lost, none is shut.
-        let open = hall.is_lost() || hall.open(now, streamer, &self.own);
+        let open = hall.is_lost() || hall.admits(now, streamer, &self.own);
         let mut terms = Constraints { tier, allowed: open, max_rate_kb: f64::INFINITY };
         if self.spills(request, place.hall) {
             let least = self.set.rate_kb(request.class, class.lowest_rung);
-            match self.spill.most_kb(now, request.id, least) {
+            match self.spill.max_rate_kb(now, request.id, least) {
                 Some(most) => terms.max_rate_kb = most,
                 None => terms.allowed = false,
             }
--- a/crates/halls/src/settings.rs
+++ b/crates/halls/src/settings.rs
@@ -6,7 +6,7 @@
 /// Which halls come first for a session, where no order is stated for its class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Prefer {
+pub enum HallPreference {
     /// All halls are alike; price and load decide.
     #[default]
     None,
@@ -21,7 +21,7 @@
     /// Whether any of this is in force.
     pub enabled: bool,
     /// Which halls come first.
-    pub prefer: Prefer,
+    pub prefer: HallPreference,
     /// An order of halls for classes, by name; halls left out come last.
     pub order: BTreeMap<String, Vec<String>>,
     /// Share of the standing halls' links and uplinks that sessions from a lost hall may fill, 0 to 1.
@@ -51,7 +51,7 @@
     fn default() -> Self {
         HallSettings {
             enabled: true,
-            prefer: Prefer::None,
+            prefer: HallPreference::None,
             order: BTreeMap::new(),
             spill_share: 0.8,
             spill_rate: 0.0,
--- a/crates/halls/tests/evidence.rs
+++ b/crates/halls/tests/evidence.rs
@@ -5,17 +5,17 @@
 const S: Micros = 1_000_000;
 
 fn lost(e: &Evidence) -> bool {
-    e.ratio() >= Evidence::bound(0.001)
+    e.log_likelihood_ratio() >= Evidence::loss_threshold(0.001)
 }
 
 #[test]
 fn three_streamers_that_cannot_be_reached_are_a_loss_and_one_never_is() {
     let mut e = Evidence::default();
-    (0..50).for_each(|i| e.take(i * 1_000, StreamerId(1), Sign::Unreachable, 5 * S));
+    (0..50).for_each(|i| e.record(i * 1_000, StreamerId(1), Observation::Unreachable, 5 * S));
     assert!(!lost(&e), "one streamer, however often");
-    e.take(60_000, StreamerId(2), Sign::Unreachable, 5 * S);
+    e.record(60_000, StreamerId(2), Observation::Unreachable, 5 * S);
     assert!(!lost(&e));
-    e.take(70_000, StreamerId(3), Sign::Unreachable, 5 * S);
+    e.record(70_000, StreamerId(3), Observation::Unreachable, 5 * S);
     assert!(lost(&e));
 }
 
@@ -23,8 +23,8 @@
 fn half_a_hall_that_answers_is_no_loss() {
     let mut e = Evidence::default();
     for i in 0..10 {
-        e.take(i * 1_000, StreamerId(i as u32), Sign::Unreachable, 5 * S);
-        e.take(i * 1_000, StreamerId(100 + i as u32), Sign::Reachable, 5 * S);
+        e.record(i * 1_000, StreamerId(i as u32), Observation::Unreachable, 5 * S);
+        e.record(i * 1_000, StreamerId(100 + i as u32), Observation::Reachable, 5 * S);
     }
     assert!(!lost(&e));
 }
@@ -32,16 +32,16 @@
 #[test]
 fn answers_from_before_the_first_failure_do_not_hide_a_cut() {
     let mut e = Evidence::default();
-    (0..20).for_each(|i| e.take(i, StreamerId(i as u32), Sign::Reachable, 5 * S));
-    (0..3).for_each(|i| e.take(S + i, StreamerId(i as u32), Sign::Unreachable, 5 * S));
+    (0..20).for_each(|i| e.record(i, StreamerId(i as u32), Observation::Reachable, 5 * S));
+    (0..3).for_each(|i| e.record(S + i, StreamerId(i as u32), Observation::Unreachable, 5 * S));
     assert!(lost(&e));
 }
 
 #[test]
 fn old_signs_do_not_count() {
     let mut e = Evidence::default();
-    e.take(0, StreamerId(1), Sign::Unreachable, 5 * S);
-    e.take(S, StreamerId(2), Sign::Unreachable, 5 * S);
-    e.take(7 * S, StreamerId(3), Sign::Unreachable, 5 * S);
-    assert_eq!(e.against(), 1);
+    e.record(0, StreamerId(1), Observation::Unreachable, 5 * S);
+    e.record(S, StreamerId(2), Observation::Unreachable, 5 * S);
+    e.record(7 * S, StreamerId(3), Observation::Unreachable, 5 * S);
+    assert_eq!(e.failing_streamers(), 1);
 }
--- a/crates/halls/tests/properties.rs
+++ b/crates/halls/tests/properties.rs
@@ -3,7 +3,7 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use stonewharf_core::*;
-use stonewharf_halls::{Change, Hall, HallSettings, Halls, SharedHalls, Sign, State};
+use stonewharf_halls::{Hall, HallSettings, HallState, Halls, Observation, SharedHalls, Transition};
 
 const S: Micros = 1_000_000;
 const SEED: u64 = 20;
@@ -74,8 +74,9 @@
     }
 }
 
-fn sign_of(n: u8) -> Sign {
-    [Sign::Reachable, Sign::Unreachable, Sign::Silent, Sign::Cut][usize::from(n) % 4]
+fn sign_of(n: u8) -> Observation {
+    [Observation::Reachable, Observation::Unreachable, Observation::TimedOut, Observation::ConnectionLost]
+        [usize::from(n) % 4]
 }
 
 proptest! {
@@ -98,35 +99,35 @@
             let change = match what {
                 0..=5 => {
                     let sign = sign_of(what);
-                    if sign == Sign::Reachable { bad.remove(&streamer); } else { bad.insert(streamer, now); }
-                    hall.sign(now, streamer, sign, &own)
+                    if sign == Observation::Reachable { bad.remove(&streamer); } else { bad.insert(streamer, now); }
+                    hall.observe(now, streamer, sign, &own)
                 }
-                6 => hall.pass(now, &own),
-                7 => hall.restarted(now, now),
-                _ => { hall.tried(now, &own); None }
+                6 => hall.tick(now, &own),
+                7 => hall.streamer_restarted(now, now),
+                _ => { hall.trial_sent(now, &own); None }
             };
             let recent = bad.values().filter(|at| **at + own.evidence_ms * 1_000 >= now).count();
             match change {
-                Some(Change::Lost(_) | Change::Dropped(_)) => {
+                Some(Transition::Lost(_) | Transition::LostAgain(_)) => {
                     prop_assert!(recent >= 3, "{recent} streamers lost a hall");
                     prop_assert!(hall.is_lost());
                     bad.clear();
                 }
-                Some(Change::Returns) => {
-                    let was_lost = matches!(before, State::Lost { .. });
+                Some(Transition::Returning) => {
+                    let was_lost = matches!(before, HallState::Lost { .. });
                     prop_assert!(was_lost);
                     bad.clear();
                 }
-                Some(Change::Back) => {
-                    let returning = matches!(before, State::Returning { .. });
+                Some(Transition::Recovered) => {
+                    let returning = matches!(before, HallState::Returning { .. });
                     prop_assert!(returning);
                 }
-                None => prop_assert_eq!(matches!(before, State::Lost { .. }), hall.is_lost()),
+                None => prop_assert_eq!(matches!(before, HallState::Lost { .. }), hall.is_lost()),
             }
-            let share = hall.share(now, &own);
+            let share = hall.admitted_share(now, &own);
             prop_assert!((0.0..=1.0).contains(&share));
             prop_assert_eq!(share == 0.0, hall.is_lost());
-            prop_assert!(hall.drops() <= 16);
+            prop_assert!(hall.failed_returns() <= 16);
         }
     }
 
@@ -138,26 +139,26 @@
         let mut now = 0;
         for round in 0..=drops {
             for i in 0..3 {
-                hall.sign(now, StreamerId(i), Sign::Unreachable, &own);
+                hall.observe(now, StreamerId(i), Observation::Unreachable, &own);
             }
             prop_assert!(hall.is_lost());
-            prop_assert_eq!(hall.drops(), round);
+            prop_assert_eq!(hall.failed_returns(), round);
             now += S;
-            prop_assert_eq!(hall.sign(now, StreamerId(9), Sign::Reachable, &own), Some(Change::Returns));
+            prop_assert_eq!(hall.observe(now, StreamerId(9), Observation::Reachable, &own), Some(Transition::Returning));
             now += S;
         }
         let began = now - S;
         let lasts = 12 * S * u64::from((1u32 << drops).min(own.slowest_return));
         let mut last = 0.0;
         while now < began + lasts {
-            let share = hall.share(now, &own);
+            let share = hall.admitted_share(now, &own);
             prop_assert!(share >= last && share > 0.0);
             last = share;
-            prop_assert_eq!(hall.pass(now, &own), None);
+            prop_assert_eq!(hall.tick(now, &own), None);
             now += S / 2;
         }
-        prop_assert_eq!(hall.pass(began + lasts, &own), Some(Change::Back));
-        prop_assert_eq!(hall.share(began + lasts, &own), 1.0);
+        prop_assert_eq!(hall.tick(began + lasts, &own), Some(Transition::Recovered));
+        prop_assert_eq!(hall.admitted_share(began + lasts, &own), 1.0);
     }
 }
 
--- a/crates/halls/tests/terms.rs
+++ b/crates/halls/tests/terms.rs
@@ -1,6 +1,6 @@
 //! The terms that halls state for a set-up, case by case.
 use stonewharf_core::*;
-use stonewharf_halls::{HallSettings, Halls, Prefer, State};
+use stonewharf_halls::{HallPreference, HallSettings, HallState, Halls};
 
 const S: Micros = 1_000_000;
 const A: ZoneId = ZoneId(0);
@@ -81,7 +81,7 @@
 fn tiers_follow_the_order_of_a_class_and_else_the_preference() {
     let order = [("replay".to_owned(), vec!["hall-b".to_owned(), "hall-a".to_owned()])].into();
     let names = vec!["hall-a".to_owned(), "hall-b".to_owned()];
-    let h = halls(HallSettings { prefer: Prefer::Home, order, names, ..HallSettings::default() });
+    let h = halls(HallSettings { prefer: HallPreference::Home, order, names, ..HallSettings::default() });
     let tier = |class, streamer| terms(&h, S, &wanted(1, class, false), streamer).tier;
     assert_eq!((tier(0, 0), tier(0, 1)), (1, 0), "replay: hall-b first");
     assert_eq!((tier(1, 0), tier(1, 1)), (0, 1), "seat-view: home first");
@@ -91,7 +91,7 @@
 fn a_lost_hall_is_shut_but_for_trials_that_do_no_harm() {
     let mut h = halls(HallSettings::default());
     lose(&mut h, S, 1);
-    assert!(matches!(h.state(B), State::Lost { .. }));
+    assert!(matches!(h.state(B), HallState::Lost { .. }));
     assert!(!terms(&h, S, &wanted(1, 1, false), 1).allowed);
     assert!(terms(&h, S, &wanted(1, 1, false), 0).allowed);
     let later = S + 2 * S;
@@ -149,7 +149,7 @@
     let entries = [1, 3, 5].map(|i| entry(i, Standing::Draining, None)).to_vec();
     tell(&mut h, S, Event::List { scope: ListScope::Delta, entries });
     lose(&mut h, S, 1);
-    assert!(!matches!(h.state(B), State::Lost { .. }), "those that drain say nothing of the hall");
+    assert!(!matches!(h.state(B), HallState::Lost { .. }), "those that drain say nothing of the hall");
     let entries = [1, 3, 5, 7].map(|i| entry(i, Standing::Gone, None)).to_vec();
     let news = tell(&mut h, S, Event::List { scope: ListScope::Delta, entries });
     assert!(news.iter().any(|l| l.contains("the list says")), "{news:?}");
--- a/crates/model/src/run/between.rs
+++ b/crates/model/src/run/between.rs
@@ -201,7 +201,8 @@
 
     pub(super) fn found(&mut self, node: usize) {
         let Some((_, hall)) = self.first_loss else { return };
-        let lost = matches!(self.nodes[node].halls.0.borrow().state(ZoneId(hall as u32)), State::Lost { .. });
+        let lost =
+            matches!(self.nodes[node].halls.0.borrow().state(ZoneId(hall as u32)), HallState::Lost { .. });
         if lost && self.nodes[node].found_at.is_none() {
             self.nodes[node].found_at = Some(self.now);
         }
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -21,7 +21,7 @@
     ClassId, Effect, Entry, ListScope, LoadReport, Micros, NoteKind, Outcome as Ending, Request, RequestId,
     SettingsError, StreamerId, TitleId, ViewerId, ZoneId,
 };
-use stonewharf_halls::{Halls, SharedHalls, State};
+use stonewharf_halls::{HallState, Halls, SharedHalls};
 
 const TICK: Micros = SECOND / 4;
 /// Before this the world fills; nothing is counted.
