--- a/crates/halls/src/limits.rs
+++ b/crates/halls/src/limits.rs
@@ -1,9 +1,6 @@
 //! All halls together, behind the core's seam: tells each hall its signs, finds which requests spill, and
-//! states the terms. Where all halls are lost none is shut: then no judgement is better than none.
-use crate::evidence::Observation;
-use crate::hall::{Hall, HallState, Transition};
-use crate::settings::{HallPreference, HallSettings};
-use crate::spill::SpillBudget;
+//! states the constraints. Where all halls are lost none is shut: then no judgement is better than none.
+use crate::{Hall, HallPreference, HallSettings, HallState, Observation, SpillBudget, Transition};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -14,27 +11,27 @@
 
 const SECOND: Micros = 1_000_000;
 /// Load of a link or uplink, or missing delivery, from which a hall runs short.
-const SHORT_LOAD: f64 = 1.0;
-const SHORT_DELIVERY: f64 = 0.98;
+const MAX_LOAD: f64 = 1.0;
+const MIN_DELIVERY: f64 = 0.98;
 /// Seconds over which the usual arrivals are taken, while all halls are settled.
-const USUAL_S: f64 = 30.0;
+const USUAL_RATE_WINDOW_S: f64 = 30.0;
 /// A first try beyond this multiple of the usual arrivals is taken for one that comes from a lost hall.
-const OWN_MORE: f64 = 1.25;
+const REGULAR_FACTOR: f64 = 1.25;
 /// Least depth of the bucket for own first tries, so that chance alone makes nobody a stranger.
-const OWN_DEPTH: f64 = 3.0;
+const REGULAR_DEPTH: f64 = 3.0;
 
 /// Where a streamer stands.
-struct Place {
+struct StreamerInfo {
     hall: ZoneId,
     rack: u32,
-    kb: f64,
-    up: bool,
+    capacity_kb: f64,
+    running: bool,
     started_at: Option<Micros>,
 }
 
 /// What is kept of a request while halls are not all settled.
 #[derive(Clone, Copy, Default)]
-struct Mark {
+struct RequestNote {
     /// It came from a lost hall, as far as can be told.
     spills: bool,
     /// An attempt of it failed in this hall.
@@ -43,27 +40,27 @@
 
 /// The halls as one controller sees them.
 pub struct Halls {
-    own: HallSettings,
-    set: Settings,
+    config: HallSettings,
+    settings: Settings,
     /// Rank of halls by class, where an order is stated.
-    order: Vec<BTreeMap<ZoneId, u32>>,
+    class_order: Vec<BTreeMap<ZoneId, u32>>,
     names: BTreeMap<ZoneId, String>,
     halls: BTreeMap<ZoneId, Hall>,
-    links_kb: BTreeMap<ZoneId, f64>,
-    streamers: HashMap<StreamerId, Place>,
+    capacity_kb: BTreeMap<ZoneId, f64>,
+    streamers: HashMap<StreamerId, StreamerInfo>,
     spill: SpillBudget,
     /// Requests with a mark, and when it may go.
-    marks: HashMap<RequestId, Mark>,
-    fading: VecDeque<(Micros, RequestId)>,
+    notes: HashMap<RequestId, RequestNote>,
+    note_expiry: VecDeque<(Micros, RequestId)>,
     /// Own sessions, out or standing.
-    held: HashMap<RequestId, (StreamerId, ClassId)>,
-    held_when_settled: f64,
+    sessions: HashMap<RequestId, (StreamerId, ClassId)>,
+    sessions_when_settled: f64,
     /// First tries a second while all is settled, and the bucket that lets as many pass as own.
     usual_per_s: f64,
-    counted_at: Micros,
-    own_tokens: f64,
+    usual_at: Micros,
+    tokens: f64,
     tokens_at: Micros,
-    began: Micros,
+    started_at: Micros,
     settled: bool,
 }
 
@@ -80,8 +77,8 @@
 }
 
 impl PlacementLimits for SharedHalls {
-    fn observe_event(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String)) {
-        self.0.borrow_mut().observe_event(now, event, news);
+    fn observe_event(&mut self, now: Micros, event: &Event, log: &mut dyn FnMut(String)) {
+        self.0.borrow_mut().observe_event(now, event, log);
     }
     fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
         self.0.borrow_mut().attempt_sent(now, request, streamer, rung);
@@ -92,8 +89,8 @@
     fn constraints(&self, now: Micros, request: &Request, streamer: StreamerId) -> Constraints {
         self.0.borrow().constraints(now, request, streamer)
     }
-    fn hold_off(&self, now: Micros, request: &Request, most: Micros, chance: f64) -> Option<Micros> {
-        self.0.borrow().hold_off(now, request, most, chance)
+    fn hold_off(&self, now: Micros, request: &Request, longest: Micros, chance: f64) -> Option<Micros> {
+        self.0.borrow().hold_off(now, request, longest, chance)
     }
 }
 
@@ -101,52 +98,52 @@
     /// The halls of a deployment, all taken for whole. `class` and `zone` give the numbers of names; a class
     /// that the deployment does not have is left out.
     pub fn new(
-        own: HallSettings,
-        set: &Settings,
+        config: HallSettings,
+        settings: &Settings,
         now: Micros,
         class: impl Fn(&str) -> Option<usize>,
         zone: impl FnMut(&str) -> ZoneId,
     ) -> Self {
         let mut halls = Halls {
-            own: HallSettings::default(),
-            set: set.clone(),
-            order: Vec::new(),
+            config: HallSettings::default(),
+            settings: settings.clone(),
+            class_order: Vec::new(),
             names: BTreeMap::new(),
             halls: BTreeMap::new(),
-            links_kb: BTreeMap::new(),
+            capacity_kb: BTreeMap::new(),
             streamers: HashMap::new(),
             spill: SpillBudget::new(now),
-            marks: HashMap::new(),
-            fading: VecDeque::new(),
-            held: HashMap::new(),
-            held_when_settled: 0.0,
+            notes: HashMap::new(),
+            note_expiry: VecDeque::new(),
+            sessions: HashMap::new(),
+            sessions_when_settled: 0.0,
             usual_per_s: 0.0,
-            counted_at: now,
-            own_tokens: OWN_DEPTH,
+            usual_at: now,
+            tokens: REGULAR_DEPTH,
             tokens_at: now,
-            began: now,
+            started_at: now,
             settled: true,
         };
-        halls.configure(own, class, zone);
+        halls.configure(config, class, zone);
         halls
     }
 
     /// Takes other settings under way; what is known of the halls stays.
     pub fn configure(
         &mut self,
-        own: HallSettings,
+        config: HallSettings,
         class: impl Fn(&str) -> Option<usize>,
         mut zone: impl FnMut(&str) -> ZoneId,
     ) {
-        self.order = vec![BTreeMap::new(); self.set.classes.len()];
-        for (name, order) in &own.order {
-            if let Some(ranks) = class(name).and_then(|c| self.order.get_mut(c)) {
+        self.class_order = vec![BTreeMap::new(); self.settings.classes.len()];
+        for (name, order) in &config.order {
+            if let Some(ranks) = class(name).and_then(|c| self.class_order.get_mut(c)) {
                 ranks.extend(order.iter().enumerate().map(|(i, hall)| (zone(hall), i as u32)));
             }
         }
-        self.names = own.names.iter().map(|name| (zone(name), name.clone())).collect();
-        self.own = own;
-        self.restate();
+        self.names = config.names.iter().map(|name| (zone(name), name.clone())).collect();
+        self.config = config;
+        self.update_spill_share();
     }
 
     /// The state of a hall; one that is not on the list is whole.
@@ -164,31 +161,31 @@
     }
 
     /// Whether a hall is shut: lost, while another stands.
-    fn shut(&self, hall: ZoneId) -> bool {
+    fn is_closed(&self, hall: ZoneId) -> bool {
         self.halls.get(&hall).is_some_and(Hall::is_lost) && !self.halls.values().all(Hall::is_lost)
     }
 
     /// Rank of a hall for a class: by the order that is stated, else by the preference.
     fn tier(&self, class: usize, hall: ZoneId) -> u32 {
-        match self.order.get(class).filter(|order| !order.is_empty()) {
+        match self.class_order.get(class).filter(|order| !order.is_empty()) {
             Some(order) => order.get(&hall).copied().unwrap_or(order.len() as u32),
-            None => u32::from(self.own.prefer == HallPreference::Home && hall != self.set.zone),
+            None => u32::from(self.config.prefer == HallPreference::Home && hall != self.settings.zone),
         }
     }
 
-    fn mark(&self, id: RequestId) -> Mark {
-        self.marks.get(&id).copied().unwrap_or_default()
+    fn note(&self, id: RequestId) -> RequestNote {
+        self.notes.get(&id).copied().unwrap_or_default()
     }
 
     /// Whether a set-up in a hall counts as spilled: its viewer comes from a lost hall, it crosses from one,
     /// or its tier is not the first. What goes to a hall that returns is its own again, and raised there in
     /// steps.
-    fn spills(&self, request: &Request, hall: ZoneId) -> bool {
+    fn counts_as_spill(&self, request: &Request, hall: ZoneId) -> bool {
         if !self.is_settled(hall) {
             return false;
         }
-        let away = hall != self.set.zone && !self.is_settled(self.set.zone);
-        away || self.mark(request.id).spills || self.tier(request.class.0, hall) > 0
+        let away = hall != self.settings.zone && !self.is_settled(self.settings.zone);
+        away || self.note(request.id).spills || self.tier(request.class.0, hall) > 0
     }
 
     fn is_settled(&self, hall: ZoneId) -> bool {
@@ -196,176 +193,179 @@
     }
 
     /// States anew this controller's part of the spill limit, from the list and the state of the halls.
-    fn restate(&mut self) {
-        let all: f64 = self.links_kb.values().sum::<f64>().max(1.0);
+    fn update_spill_share(&mut self) {
+        let total_kb: f64 = self.capacity_kb.values().sum::<f64>().max(1.0);
         // The far halls: those that stand, or while all do, those that are not the own.
-        let far = |zone: &ZoneId| if self.settled { *zone != self.set.zone } else { self.is_settled(*zone) };
-        let open: f64 = self.links_kb.iter().filter(|(zone, _)| far(zone)).map(|(_, kb)| kb).sum();
+        let is_far = |z: &ZoneId| if self.settled { *z != self.settings.zone } else { self.is_settled(*z) };
+        let far_kb: f64 = self.capacity_kb.iter().filter(|(zone, _)| is_far(zone)).map(|(_, kb)| kb).sum();
         // Who sends across depends on which directors live, which nobody knows: all take even parts, so that
         // the sum never passes the limit and falls short of it by the parts of those that are lost.
-        let senders = f64::from(self.set.controllers).max(1.0);
-        let rate = if self.own.spill_rate > 0.0 { self.own.spill_rate / senders } else { f64::INFINITY };
-        let more = ((all - open) / open.max(1.0)).clamp(0.25, 4.0);
-        let expected = (self.held_when_settled * more).max(self.spill.session_count() as f64 + 1.0);
-        self.spill.set_share(self.own.spill_share * open / senders, rate, expected);
+        let senders = f64::from(self.settings.controllers).max(1.0);
+        let rate =
+            if self.config.spill_rate > 0.0 { self.config.spill_rate / senders } else { f64::INFINITY };
+        let growth = ((total_kb - far_kb) / far_kb.max(1.0)).clamp(0.25, 4.0);
+        let expected = (self.sessions_when_settled * growth).max(self.spill.session_count() as f64 + 1.0);
+        self.spill.set_share(self.config.spill_share * far_kb / senders, rate, expected);
     }
 
-    fn relist(
+    fn apply_list(
         &mut self,
         scope: ListScope,
         entries: &[stonewharf_core::Entry],
         now: Micros,
     ) -> Vec<(ZoneId, Transition)> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
-            self.streamers.values_mut().for_each(|p| p.up = false);
+            self.streamers.values_mut().for_each(|p| p.running = false);
         }
         let mut changes = Vec::new();
         for entry in entries {
-            let kb = (entry.weight * self.set.weight_kb).clamp(1.0, self.set.fleet_kb.max(1.0));
-            let up = entry.standing == Standing::Up;
-            let place = Place {
+            let capacity_kb =
+                (entry.weight * self.settings.weight_kb).clamp(1.0, self.settings.fleet_kb.max(1.0));
+            let running = entry.standing == Standing::Up;
+            let info = StreamerInfo {
                 hall: entry.zone,
-                rack: self.set.rack_of(entry),
-                kb,
-                up,
+                rack: self.settings.rack_of(entry),
+                capacity_kb,
+                running,
                 started_at: entry.started_at,
             };
-            let (warm, cold) = (self.set.warm_up_us, self.set.cold_capacity_fraction);
-            let hall = self.halls.entry(entry.zone).or_insert_with(|| Hall::new(now, warm, cold));
-            if !up {
+            let (warm_up, cold) = (self.settings.warm_up_us, self.settings.cold_capacity_fraction);
+            let hall = self.halls.entry(entry.zone).or_insert_with(|| Hall::new(now, warm_up, cold));
+            if !running {
                 hall.streamer_left(entry.streamer);
             }
-            let before = self.streamers.insert(entry.streamer, place).and_then(|p| p.started_at);
-            if let Some(at) = entry.started_at.filter(|at| up && before.is_none_or(|b| *at > b)) {
+            let before = self.streamers.insert(entry.streamer, info).and_then(|p| p.started_at);
+            if let Some(at) = entry.started_at.filter(|at| running && before.is_none_or(|b| *at > b)) {
                 changes.extend(hall.streamer_restarted(now, at).map(|c| (entry.zone, c)));
             }
         }
         // Capacity of each hall: its racks' uplinks where these are less than their links.
         let mut racks: BTreeMap<(ZoneId, u32), f64> = BTreeMap::new();
-        for p in self.streamers.values().filter(|p| p.up) {
-            *racks.entry((p.hall, p.rack)).or_default() += p.kb;
+        for p in self.streamers.values().filter(|p| p.running) {
+            *racks.entry((p.hall, p.rack)).or_default() += p.capacity_kb;
         }
         let mut links: BTreeMap<ZoneId, f64> = BTreeMap::new();
         for ((zone, _), kb) in racks {
-            *links.entry(zone).or_default() += kb.min(self.set.rack_kb);
+            *links.entry(zone).or_default() += kb.min(self.settings.rack_kb);
         }
         for (zone, hall) in &mut self.halls {
             match links.get(zone) {
                 // Capacity of an emptied hall is remembered: it is what its viewers had.
                 None => {
-                    changes.extend(hall.no_streamer_running(now, &self.own).map(|c| (*zone, c)));
+                    changes.extend(hall.no_streamer_running(now, &self.config).map(|c| (*zone, c)));
                 }
                 Some(kb) => {
-                    self.links_kb.insert(*zone, *kb);
+                    self.capacity_kb.insert(*zone, *kb);
                 }
             }
         }
-        let used: HashSet<StreamerId> = self.held.values().map(|(at, _)| *at).collect();
-        self.streamers.retain(|id, p| p.up || used.contains(id));
+        let streamers_in_use: HashSet<StreamerId> = self.sessions.values().map(|(at, _)| *at).collect();
+        self.streamers.retain(|id, p| p.running || streamers_in_use.contains(id));
         changes
     }
 
-    fn sign(&mut self, now: Micros, from: StreamerId, sign: Observation) -> Option<(ZoneId, Transition)> {
+    fn observe(&mut self, now: Micros, from: StreamerId, seen: Observation) -> Option<(ZoneId, Transition)> {
         // One that leaves as planned says nothing of its hall, unless it answers.
-        let place = self.streamers.get(&from).filter(|p| p.up || sign == Observation::Reachable)?;
-        let change = self.halls.get_mut(&place.hall)?.observe(now, from, sign, &self.own)?;
+        let place = self.streamers.get(&from).filter(|p| p.running || seen == Observation::Reachable)?;
+        let change = self.halls.get_mut(&place.hall)?.observe(now, from, seen, &self.config)?;
         Some((place.hall, change))
     }
 
     /// A request has come: while halls are not settled, finds out whether it spills.
-    fn wanted(&mut self, now: Micros, request: &Request) {
+    fn request_arrived(&mut self, now: Micros, request: &Request) {
         if self.settled {
-            let passed = now.saturating_sub(self.counted_at) as f64 / SECOND as f64;
-            let keep = (-passed / USUAL_S).exp();
+            let elapsed_s = now.saturating_sub(self.usual_at) as f64 / SECOND as f64;
+            let decay = (-elapsed_s / USUAL_RATE_WINDOW_S).exp();
             // A rate by exponential smoothing; young averages are taken over the time that there was.
-            let span = (now.saturating_sub(self.began) as f64 / SECOND as f64).clamp(1.0, USUAL_S);
-            self.usual_per_s = self.usual_per_s * keep + if request.returned { 0.0 } else { 1.0 / span };
-            self.counted_at = now;
+            let span =
+                (now.saturating_sub(self.started_at) as f64 / SECOND as f64).clamp(1.0, USUAL_RATE_WINDOW_S);
+            self.usual_per_s = self.usual_per_s * decay + if request.returned { 0.0 } else { 1.0 / span };
+            self.usual_at = now;
             return;
         }
-        let depth = OWN_DEPTH.max(self.usual_per_s);
-        let passed = now.saturating_sub(self.tokens_at) as f64 / SECOND as f64;
-        self.own_tokens = (self.own_tokens + passed * OWN_MORE * self.usual_per_s).min(depth);
+        let depth = REGULAR_DEPTH.max(self.usual_per_s);
+        let elapsed_s = now.saturating_sub(self.tokens_at) as f64 / SECOND as f64;
+        self.tokens = (self.tokens + elapsed_s * REGULAR_FACTOR * self.usual_per_s).min(depth);
         self.tokens_at = now;
-        let own = !request.returned && self.own_tokens >= 1.0;
-        self.own_tokens -= f64::from(u8::from(own));
-        self.set_mark(now, request.id, |m| m.spills = !own);
+        let is_regular = !request.returned && self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(is_regular));
+        self.update_note(now, request.id, |note| note.spills = !is_regular);
     }
 
-    fn set_mark(&mut self, now: Micros, id: RequestId, change: impl FnOnce(&mut Mark)) {
-        if !self.marks.contains_key(&id) {
-            self.fading.push_back((now + 10 * SECOND, id));
+    fn update_note(&mut self, now: Micros, id: RequestId, change: impl FnOnce(&mut RequestNote)) {
+        if !self.notes.contains_key(&id) {
+            self.note_expiry.push_back((now + 10 * SECOND, id));
         }
-        change(self.marks.entry(id).or_default());
+        change(self.notes.entry(id).or_default());
     }
 
-    fn short(&mut self, now: Micros, at: StreamerId) {
+    fn shortage_reported(&mut self, now: Micros, at: StreamerId) {
         let hall = self.streamers.get(&at).map(|p| p.hall);
-        if !self.settled && hall.is_some_and(|h| !self.shut(h)) {
-            self.spill.back_off(now, self.own.back_off);
+        if !self.settled && hall.is_some_and(|h| !self.is_closed(h)) {
+            self.spill.back_off(now, self.config.back_off);
         }
     }
 
-    fn reported(&mut self, now: Micros, at: StreamerId, report: &LoadReport) {
+    fn check_report(&mut self, now: Micros, at: StreamerId, report: &LoadReport) {
         let load = report.link.unwrap_or(0.0).max(report.uplink.unwrap_or(0.0));
-        if load > SHORT_LOAD {
-            self.short(now, at);
+        if load > MAX_LOAD {
+            self.shortage_reported(now, at);
         }
     }
 
-    fn pass(&mut self, now: Micros) -> Vec<(ZoneId, Transition)> {
-        while let Some((_, id)) = self.fading.front().copied().filter(|f| f.0 <= now) {
-            self.fading.pop_front();
-            self.marks.remove(&id);
+    fn tick(&mut self, now: Micros) -> Vec<(ZoneId, Transition)> {
+        while let Some((_, id)) = self.note_expiry.front().copied().filter(|expiry| expiry.0 <= now) {
+            self.note_expiry.pop_front();
+            self.notes.remove(&id);
         }
-        let own = &self.own;
-        let passed = self.halls.iter_mut().filter_map(|(zone, hall)| Some((*zone, hall.tick(now, own)?)));
-        passed.collect()
+        let config = &self.config;
+        let changes = self.halls.iter_mut().filter_map(|(zone, hall)| Some((*zone, hall.tick(now, config)?)));
+        changes.collect()
     }
 }
 
 impl PlacementLimits for Halls {
-    fn observe_event(&mut self, now: Micros, event: &Event, news: &mut dyn FnMut(String)) {
+    fn observe_event(&mut self, now: Micros, event: &Event, log: &mut dyn FnMut(String)) {
         let mut changes = match event {
-            Event::Timer(_) => self.pass(now),
+            Event::Timer(_) => self.tick(now),
             Event::List { scope: ListScope::Failed, .. } => Vec::new(),
             Event::List { scope, entries } => {
-                let changes = self.relist(*scope, entries, now);
-                self.restate();
+                let changes = self.apply_list(*scope, entries, now);
+                self.update_spill_share();
                 changes
             }
             _ => Vec::new(),
         };
-        let sign = match event {
+        let observation = match event {
             Event::Inbound(request) => {
-                self.wanted(now, request);
+                self.request_arrived(now, request);
                 None
             }
             Event::Preexisting(request, at) => {
-                self.held.insert(request.id, (*at, request.class));
+                self.sessions.insert(request.id, (*at, request.class));
                 None
             }
-            Event::ConnectResult { streamer, connected: up } => {
-                Some((*streamer, if *up { Observation::Reachable } else { Observation::Unreachable }))
+            Event::ConnectResult { streamer, connected } => {
+                Some((*streamer, if *connected { Observation::Reachable } else { Observation::Unreachable }))
             }
             Event::Started { streamer, .. } => Some((*streamer, Observation::Reachable)),
             Event::Note { streamer, kind, value, .. } => {
                 match kind {
-                    NoteKind::Delivered if *value > 0.0 && *value < SHORT_DELIVERY => {
-                        self.short(now, *streamer);
+                    NoteKind::Delivered if *value > 0.0 && *value < MIN_DELIVERY => {
+                        self.shortage_reported(now, *streamer);
                     }
-                    NoteKind::LinkUse | NoteKind::UplinkUse if *value > SHORT_LOAD => {
-                        self.short(now, *streamer);
+                    NoteKind::LinkUse | NoteKind::UplinkUse if *value > MAX_LOAD => {
+                        self.shortage_reported(now, *streamer);
                     }
                     _ => {}
                 }
                 Some((*streamer, Observation::Reachable))
             }
             Event::Ended { request, streamer, outcome, report, .. } => {
-                self.held.remove(request);
+                self.sessions.remove(request);
                 self.spill.remove(*request);
-                self.reported(now, *streamer, report);
-                let sign = match outcome {
+                self.check_report(now, *streamer, report);
+                let observation = match outcome {
                     Outcome::Ok | Outcome::Failed | Outcome::QueueFull | Outcome::Garbled => {
                         Some(Observation::Reachable)
                     }
@@ -374,15 +374,15 @@
                     Outcome::Reset => Some(Observation::ConnectionLost),
                     Outcome::Canceled | Outcome::Ignored => None,
                 };
-                if sign.is_some_and(|s| s != Observation::Reachable)
+                if observation.is_some_and(|o| o != Observation::Reachable)
                     && let Some(hall) = self.streamers.get(streamer).map(|p| p.hall)
                 {
-                    self.set_mark(now, *request, |m| m.failed_in = Some(hall));
+                    self.update_note(now, *request, |note| note.failed_in = Some(hall));
                 }
-                sign.map(|s| (*streamer, s))
+                observation.map(|o| (*streamer, o))
             }
             Event::Probed { streamer, outcome, report } => {
-                self.reported(now, *streamer, report);
+                self.check_report(now, *streamer, report);
                 match outcome {
                     Outcome::Ok => Some((*streamer, Observation::Reachable)),
                     Outcome::ConnectError => Some((*streamer, Observation::Unreachable)),
@@ -392,20 +392,20 @@
             }
             Event::ClientGone(_) | Event::Timer(_) | Event::List { .. } => None,
         };
-        changes.extend(sign.and_then(|(from, sign)| self.sign(now, from, sign)));
+        changes.extend(observation.and_then(|(from, seen)| self.observe(now, from, seen)));
         if changes.is_empty() {
             return;
         }
         let was_settled = self.settled;
         self.settled = self.halls.values().all(Hall::is_settled);
         if was_settled && !self.settled {
-            self.held_when_settled = self.held.len() as f64;
-            (self.own_tokens, self.tokens_at) = (OWN_DEPTH, now);
+            self.sessions_when_settled = self.sessions.len() as f64;
+            (self.tokens, self.tokens_at) = (REGULAR_DEPTH, now);
         }
-        self.restate();
-        for (zone, change) in changes.into_iter().filter(|_| self.own.enabled) {
+        self.update_spill_share();
+        for (zone, change) in changes.into_iter().filter(|_| self.config.enabled) {
             let name = self.name(zone);
-            news(match change {
+            log(match change {
                 Transition::Lost(0) => format!("hall {name} is lost: the list says that nothing in it runs"),
                 Transition::Lost(n) => format!("hall {name} is lost: {n} streamers cannot be reached"),
                 Transition::LostAgain(n) => format!("hall {name} is lost again while it returned, time {n}"),
@@ -416,57 +416,57 @@
     }
 
     fn attempt_sent(&mut self, now: Micros, request: &Request, streamer: StreamerId, rung: usize) {
-        self.held.insert(request.id, (streamer, request.class));
+        self.sessions.insert(request.id, (streamer, request.class));
         let Some(zone) = self.streamers.get(&streamer).map(|p| p.hall) else { return };
-        if self.spills(request, zone) {
-            self.spill.record_set_up(now, request.id, self.set.rate_kb(request.class, rung));
-            self.set_mark(now, request.id, |m| m.spills = true);
+        if self.counts_as_spill(request, zone) {
+            self.spill.record_set_up(now, request.id, self.settings.rate_kb(request.class, rung));
+            self.update_note(now, request.id, |note| note.spills = true);
         }
-        let own = &self.own;
+        let config = &self.config;
         if let Some(hall) = self.halls.get_mut(&zone) {
-            hall.trial_sent(now, own);
+            hall.trial_sent(now, config);
         }
     }
 
     fn rung_changed(&mut self, request: RequestId, rung: usize) {
-        if let Some((_, class)) = self.held.get(&request) {
-            self.spill.change_rate(request, self.set.rate_kb(*class, rung));
+        if let Some((_, class)) = self.sessions.get(&request) {
+            self.spill.change_rate(request, self.settings.rate_kb(*class, rung));
         }
     }
 
     fn constraints(&self, now: Micros, request: &Request, streamer: StreamerId) -> Constraints {
-        let Some(place) = self.streamers.get(&streamer).filter(|_| self.own.enabled) else {
+        let Some(place) = self.streamers.get(&streamer).filter(|_| self.config.enabled) else {
             return Constraints::NONE;
         };
         let Some(hall) = self.halls.get(&place.hall) else { return Constraints::NONE };
-        let mark = if self.marks.is_empty() { Mark::default() } else { self.mark(request.id) };
-        let class = &self.set.classes[request.class.0];
+        let note = if self.notes.is_empty() { RequestNote::default() } else { self.note(request.id) };
+        let class = &self.settings.classes[request.class.0];
         let mut tier = self.tier(request.class.0, place.hall);
-        if self.shut(place.hall) {
+        if self.is_closed(place.hall) {
             // A trial goes first, by a session that can be set up again elsewhere in time.
-            let harmless = class.effect == Effect::Idempotent && mark.failed_in.is_none();
-            let open = harmless && hall.trial_due(now);
-            return Constraints { tier: 0, allowed: open, max_rate_kb: f64::INFINITY };
+            let is_safe_trial = class.effect == Effect::Idempotent && note.failed_in.is_none();
+            let allowed = is_safe_trial && hall.trial_due(now);
+            return Constraints { tier: 0, allowed, max_rate_kb: f64::INFINITY };
         }
         if !self.settled && self.halls.values().any(|h| h.trial_due(now)) {
             tier += 1;
         }
-        tier += u32::from(mark.failed_in == Some(place.hall));
+        tier += u32::from(note.failed_in == Some(place.hall));
         // Where all halls are lost, none is shut.
-        let open = hall.is_lost() || hall.admits(now, streamer, &self.own);
-        let mut terms = Constraints { tier, allowed: open, max_rate_kb: f64::INFINITY };
-        if self.spills(request, place.hall) {
-            let least = self.set.rate_kb(request.class, class.lowest_rung);
-            match self.spill.max_rate_kb(now, request.id, least) {
-                Some(most) => terms.max_rate_kb = most,
-                None => terms.allowed = false,
+        let allowed = hall.is_lost() || hall.admits(now, streamer, &self.config);
+        let mut constraints = Constraints { tier, allowed, max_rate_kb: f64::INFINITY };
+        if self.counts_as_spill(request, place.hall) {
+            let min_rate_kb = self.settings.rate_kb(request.class, class.lowest_rung);
+            match self.spill.max_rate_kb(now, request.id, min_rate_kb) {
+                Some(rate_kb) => constraints.max_rate_kb = rate_kb,
+                None => constraints.allowed = false,
             }
         }
-        terms
+        constraints
     }
 
-    fn hold_off(&self, _now: Micros, _request: &Request, most: Micros, chance: f64) -> Option<Micros> {
+    fn hold_off(&self, _now: Micros, _request: &Request, longest: Micros, chance: f64) -> Option<Micros> {
         // All that come from a lost hall come at once: their returns are spread over all the time there is.
-        (self.own.enabled && !self.settled).then_some((most as f64 * (0.25 + 0.75 * chance)) as Micros)
+        (self.config.enabled && !self.settled).then_some((longest as f64 * (0.25 + 0.75 * chance)) as Micros)
     }
 }
