--- a/crates/halls/src/limits.rs
+++ b/crates/halls/src/limits.rs
@@ -1,26 +1,28 @@
-//! All halls together, behind the core's seam: tells each hall its signs, finds which requests spill, and
-//! states the constraints. Where all halls are lost none is shut: then no judgement is better than none.
+//! The placement limits of all halls: passes observations to each hall, finds which requests spill over from
+//! a lost hall, and returns the constraints on each set-up. If all halls are judged lost, none is closed:
+//! no judgement is better then.
 use crate::{Hall, HallPreference, HallSettings, HallState, Observation, SpillBudget, Transition};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use stonewharf_core::{
-    ClassId, Constraints, Effect, Event, ListScope, LoadReport, Micros, NoteKind, Outcome, PlacementLimits,
-    Request, RequestId, Settings, Standing, StreamerId, ZoneId,
+    ClassId, Constraints, Effect, Entry, Event, ListScope, LoadReport, Micros, NoteKind, Outcome,
+    PlacementLimits, Request, RequestId, Settings, Standing, StreamerId, ZoneId,
 };
 
 const SECOND: Micros = 1_000_000;
-/// Load of a link or uplink, or missing delivery, from which a hall runs short.
+/// A link or uplink load above this, or a delivered share below `MIN_DELIVERY`, is a shortage of capacity.
 const MAX_LOAD: f64 = 1.0;
 const MIN_DELIVERY: f64 = 0.98;
-/// Seconds over which the usual arrivals are taken, while all halls are settled.
+/// Time constant, in seconds, of the average arrival rate that is kept while all halls are settled.
 const USUAL_RATE_WINDOW_S: f64 = 30.0;
-/// A first try beyond this multiple of the usual arrivals is taken for one that comes from a lost hall.
+/// First tries above this multiple of the usual arrival rate are taken to come from a lost hall.
 const REGULAR_FACTOR: f64 = 1.25;
-/// Least depth of the bucket for own first tries, so that chance alone makes nobody a stranger.
+/// Least depth of the token bucket for regular first tries, so that random bursts don't count as spill.
 const REGULAR_DEPTH: f64 = 3.0;
+const REQUEST_NOTE_LIFETIME_US: Micros = 10 * SECOND;
 
-/// Where a streamer stands.
+/// Location, capacity and status of a streamer, as discovery lists it.
 struct StreamerInfo {
     hall: ZoneId,
     rack: u32,
@@ -29,48 +31,49 @@
     started_at: Option<Micros>,
 }
 
-/// What is kept of a request while halls are not all settled.
+/// What is remembered about a request while some hall is lost or returning.
 #[derive(Clone, Copy, Default)]
 struct RequestNote {
-    /// It came from a lost hall, as far as can be told.
+    /// Its viewer probably comes from a lost hall.
     spills: bool,
-    /// An attempt of it failed in this hall.
+    /// The hall of its last attempt that failed without an answer from the streamer.
     failed_in: Option<ZoneId>,
 }
 
-/// The halls as one controller sees them.
+/// All halls, as one director sees them.
 pub struct Halls {
     config: HallSettings,
     settings: Settings,
-    /// Rank of halls by class, where an order is stated.
+    /// Rank of the halls for each class; empty for a class without a configured order.
     class_order: Vec<BTreeMap<ZoneId, u32>>,
     names: BTreeMap<ZoneId, String>,
     halls: BTreeMap<ZoneId, Hall>,
     capacity_kb: BTreeMap<ZoneId, f64>,
     streamers: HashMap<StreamerId, StreamerInfo>,
     spill: SpillBudget,
-    /// Requests with a mark, and when it may go.
+    /// Notes on requests, and when each expires.
     notes: HashMap<RequestId, RequestNote>,
     note_expiry: VecDeque<(Micros, RequestId)>,
-    /// Own sessions, out or standing.
+    /// Own attempts in flight and established sessions.
     sessions: HashMap<RequestId, (StreamerId, ClassId)>,
     sessions_when_settled: f64,
-    /// First tries a second while all is settled, and the bucket that lets as many pass as own.
+    /// First tries a second while all halls are settled.
     usual_per_s: f64,
     usual_at: Micros,
+    /// Token bucket of that rate, from which regular first tries are counted once a hall is lost.
     tokens: f64,
     tokens_at: Micros,
     started_at: Micros,
     settled: bool,
 }
 
-/// Halls that a controller and its operator share: the controller asks through the seam, the operator reads
-/// the state and changes the settings under way.
+/// A shared handle: the controller uses it as its [`PlacementLimits`], while the owner of the handle reads
+/// the state and changes the settings at run time.
 #[derive(Clone)]
 pub struct SharedHalls(pub Rc<RefCell<Halls>>);
 
 impl SharedHalls {
-    /// The halls, to be handed to a controller and kept.
+    /// Wraps `halls`; clones of the result share them.
     pub fn new(halls: Halls) -> Self {
         SharedHalls(Rc::new(RefCell::new(halls)))
     }
@@ -95,8 +98,8 @@
 }
 
 impl Halls {
-    /// The halls of a deployment, all taken for whole. `class` and `zone` give the numbers of names; a class
-    /// that the deployment does not have is left out.
+    /// Creates the halls of a deployment, all healthy. `class` and `zone` map names to ids; the order of a
+    /// class that the deployment does not have is ignored.
     pub fn new(
         config: HallSettings,
         settings: &Settings,
@@ -128,7 +131,7 @@
         halls
     }
 
-    /// Takes other settings under way; what is known of the halls stays.
+    /// Replaces the settings at run time; the state of the halls stays.
     pub fn configure(
         &mut self,
         config: HallSettings,
@@ -146,12 +149,12 @@
         self.update_spill_share();
     }
 
-    /// The state of a hall; one that is not on the list is whole.
+    /// The state of a hall; one that discovery never listed is healthy.
     pub fn state(&self, hall: ZoneId) -> HallState {
         self.halls.get(&hall).map_or(HallState::Healthy, Hall::state)
     }
 
-    /// The account of what spills.
+    /// This director's spill budget.
     pub fn spill(&self) -> &SpillBudget {
         &self.spill
     }
@@ -160,12 +163,12 @@
         self.names.get(&hall).cloned().unwrap_or_else(|| format!("number {}", hall.0))
     }
 
-    /// Whether a hall is shut: lost, while another stands.
+    /// Whether a hall is closed to set-ups: it is lost and some other hall is not.
     fn is_closed(&self, hall: ZoneId) -> bool {
         self.halls.get(&hall).is_some_and(Hall::is_lost) && !self.halls.values().all(Hall::is_lost)
     }
 
-    /// Rank of a hall for a class: by the order that is stated, else by the preference.
+    /// Tier of a hall for a class: by the configured order of the class, else by the preference.
     fn tier(&self, class: usize, hall: ZoneId) -> u32 {
         match self.class_order.get(class).filter(|order| !order.is_empty()) {
             Some(order) => order.get(&hall).copied().unwrap_or(order.len() as u32),
@@ -177,9 +180,9 @@
         self.notes.get(&id).copied().unwrap_or_default()
     }
 
-    /// Whether a set-up in a hall counts as spilled: its viewer comes from a lost hall, it crosses from one,
-    /// or its tier is not the first. What goes to a hall that returns is its own again, and raised there in
-    /// steps.
+    /// Whether a set-up in `hall` counts against the spill budget: its viewer comes from a lost hall, it
+    /// leaves this director's own hall while that is not settled, or the hall's tier is not the first.
+    /// Set-ups in a returning hall do not count: that hall's return steps limit them.
     fn counts_as_spill(&self, request: &Request, hall: ZoneId) -> bool {
         if !self.is_settled(hall) {
             return false;
@@ -192,14 +195,14 @@
         self.halls.get(&hall).is_none_or(Hall::is_settled)
     }
 
-    /// States anew this controller's part of the spill limit, from the list and the state of the halls.
+    /// Recomputes this director's share of the spill limit from the capacity and the state of the halls.
     fn update_spill_share(&mut self) {
         let total_kb: f64 = self.capacity_kb.values().sum::<f64>().max(1.0);
-        // The far halls: those that stand, or while all do, those that are not the own.
+        // The far halls are the settled ones or, while all are settled, all but the own.
         let is_far = |z: &ZoneId| if self.settled { *z != self.settings.zone } else { self.is_settled(*z) };
         let far_kb: f64 = self.capacity_kb.iter().filter(|(zone, _)| is_far(zone)).map(|(_, kb)| kb).sum();
-        // Who sends across depends on which directors live, which nobody knows: all take even parts, so that
-        // the sum never passes the limit and falls short of it by the parts of those that are lost.
+        // No director knows which others are running. Each takes an equal share, so that the sum never passes
+        // the limit; it falls short of it by the shares of the directors that are down.
         let senders = f64::from(self.settings.controllers).max(1.0);
         let rate =
             if self.config.spill_rate > 0.0 { self.config.spill_rate / senders } else { f64::INFINITY };
@@ -208,12 +211,7 @@
         self.spill.set_share(self.config.spill_share * far_kb / senders, rate, expected);
     }
 
-    fn apply_list(
-        &mut self,
-        scope: ListScope,
-        entries: &[stonewharf_core::Entry],
-        now: Micros,
-    ) -> Vec<(ZoneId, Transition)> {
+    fn apply_list(&mut self, scope: ListScope, entries: &[Entry], now: Micros) -> Vec<(ZoneId, Transition)> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             self.streamers.values_mut().for_each(|p| p.running = false);
         }
@@ -239,7 +237,7 @@
                 changes.extend(hall.streamer_restarted(now, at).map(|c| (entry.zone, c)));
             }
         }
-        // Capacity of each hall: its racks' uplinks where these are less than their links.
+        // A rack contributes the sum of its streamers' links, up to the capacity of its uplink.
         let mut racks: BTreeMap<(ZoneId, u32), f64> = BTreeMap::new();
         for p in self.streamers.values().filter(|p| p.running) {
             *racks.entry((p.hall, p.rack)).or_default() += p.capacity_kb;
@@ -250,7 +248,7 @@
         }
         for (zone, hall) in &mut self.halls {
             match links.get(zone) {
-                // Capacity of an emptied hall is remembered: it is what its viewers had.
+                // The last capacity of a hall without streamers stays: its viewers need as much elsewhere.
                 None => {
                     changes.extend(hall.no_streamer_running(now, &self.config).map(|c| (*zone, c)));
                 }
@@ -265,18 +263,18 @@
     }
 
     fn observe(&mut self, now: Micros, from: StreamerId, seen: Observation) -> Option<(ZoneId, Transition)> {
-        // One that leaves as planned says nothing of its hall, unless it answers.
+        // Failures of a streamer that is draining or gone are no evidence about its hall; answers are.
         let place = self.streamers.get(&from).filter(|p| p.running || seen == Observation::Reachable)?;
         let change = self.halls.get_mut(&place.hall)?.observe(now, from, seen, &self.config)?;
         Some((place.hall, change))
     }
 
-    /// A request has come: while halls are not settled, finds out whether it spills.
+    /// Updates the usual arrival rate or, while a hall is not settled, decides whether the request spills.
     fn request_arrived(&mut self, now: Micros, request: &Request) {
         if self.settled {
             let elapsed_s = now.saturating_sub(self.usual_at) as f64 / SECOND as f64;
             let decay = (-elapsed_s / USUAL_RATE_WINDOW_S).exp();
-            // A rate by exponential smoothing; young averages are taken over the time that there was.
+            // Exponential smoothing; a young average is taken over the time since the start.
             let span =
                 (now.saturating_sub(self.started_at) as f64 / SECOND as f64).clamp(1.0, USUAL_RATE_WINDOW_S);
             self.usual_per_s = self.usual_per_s * decay + if request.returned { 0.0 } else { 1.0 / span };
@@ -294,7 +292,7 @@
 
     fn update_note(&mut self, now: Micros, id: RequestId, change: impl FnOnce(&mut RequestNote)) {
         if !self.notes.contains_key(&id) {
-            self.note_expiry.push_back((now + 10 * SECOND, id));
+            self.note_expiry.push_back((now + REQUEST_NOTE_LIFETIME_US, id));
         }
         change(self.notes.entry(id).or_default());
     }
@@ -406,11 +404,11 @@
         for (zone, change) in changes.into_iter().filter(|_| self.config.enabled) {
             let name = self.name(zone);
             log(match change {
-                Transition::Lost(0) => format!("hall {name} is lost: the list says that nothing in it runs"),
+                Transition::Lost(0) => format!("hall {name} is lost: discovery lists no running streamer"),
                 Transition::Lost(n) => format!("hall {name} is lost: {n} streamers cannot be reached"),
-                Transition::LostAgain(n) => format!("hall {name} is lost again while it returned, time {n}"),
-                Transition::Returning => format!("hall {name} returns, load is raised in steps"),
-                Transition::Recovered => format!("hall {name} is back"),
+                Transition::LostAgain(n) => format!("hall {name} is lost again during its return (time {n})"),
+                Transition::Returning => format!("hall {name} returns; load is raised in steps"),
+                Transition::Recovered => format!("hall {name} has fully returned"),
             });
         }
     }
@@ -443,7 +441,7 @@
         let class = &self.settings.classes[request.class.0];
         let mut tier = self.tier(request.class.0, place.hall);
         if self.is_closed(place.hall) {
-            // A trial goes first, by a session that can be set up again elsewhere in time.
+            // A trial goes first, and only with a request that can safely be retried elsewhere in time.
             let is_safe_trial = class.effect == Effect::Idempotent && note.failed_in.is_none();
             let allowed = is_safe_trial && hall.trial_due(now);
             return Constraints { tier: 0, allowed, max_rate_kb: f64::INFINITY };
@@ -452,7 +450,7 @@
             tier += 1;
         }
         tier += u32::from(note.failed_in == Some(place.hall));
-        // Where all halls are lost, none is shut.
+        // Only if all halls are lost does a lost one get here.
         let allowed = hall.is_lost() || hall.admits(now, streamer, &self.config);
         let mut constraints = Constraints { tier, allowed, max_rate_kb: f64::INFINITY };
         if self.counts_as_spill(request, place.hall) {
@@ -466,7 +464,7 @@
     }
 
     fn hold_off(&self, _now: Micros, _request: &Request, longest: Micros, chance: f64) -> Option<Micros> {
-        // All that come from a lost hall come at once: their returns are spread over all the time there is.
+        // Viewers of a lost hall all arrive at once: their retries are spread up to the longest hold-off.
         (self.config.enabled && !self.settled).then_some((longest as f64 * (0.25 + 0.75 * chance)) as Micros)
     }
 }
--- a/crates/halls/tests/terms.rs
+++ b/crates/halls/tests/terms.rs
@@ -152,7 +152,7 @@
     assert!(!matches!(h.state(B), HallState::Lost { .. }), "those that drain say nothing of the hall");
     let entries = [1, 3, 5, 7].map(|i| entry(i, Standing::Gone, None)).to_vec();
     let news = tell(&mut h, S, Event::List { scope: ListScope::Delta, entries });
-    assert!(news.iter().any(|l| l.contains("the list says")), "{news:?}");
+    assert!(news.iter().any(|l| l.contains("discovery lists no running streamer")), "{news:?}");
     let entries = [1, 3].map(|i| entry(i, Standing::Up, Some(3 * S))).to_vec();
     let news = tell(&mut h, 4 * S, Event::List { scope: ListScope::Delta, entries });
     assert!(news.iter().any(|l| l.contains("returns")), "{news:?}");
