--- a/crates/halls/src/limits.rs
+++ b/crates/halls/src/limits.rs
@@ -187,8 +187,8 @@
         if !self.is_settled(hall) {
             return false;
         }
-        let away = hall != self.settings.zone && !self.is_settled(self.settings.zone);
-        away || self.note(request.id).spills || self.tier(request.class.0, hall) > 0
+        let leaves_own_hall = hall != self.settings.zone && !self.is_settled(self.settings.zone);
+        leaves_own_hall || self.note(request.id).spills || self.tier(request.class.0, hall) > 0
     }
 
     fn is_settled(&self, hall: ZoneId) -> bool {
@@ -203,12 +203,12 @@
         let far_kb: f64 = self.capacity_kb.iter().filter(|(zone, _)| is_far(zone)).map(|(_, kb)| kb).sum();
         // No director knows which others are running. Each takes an equal share, so that the sum never passes
         // the limit; it falls short of it by the shares of the directors that are down.
-        let senders = f64::from(self.settings.controllers).max(1.0);
+        let directors = f64::from(self.settings.controllers).max(1.0);
         let rate =
-            if self.config.spill_rate > 0.0 { self.config.spill_rate / senders } else { f64::INFINITY };
+            if self.config.spill_rate > 0.0 { self.config.spill_rate / directors } else { f64::INFINITY };
         let growth = ((total_kb - far_kb) / far_kb.max(1.0)).clamp(0.25, 4.0);
         let expected = (self.sessions_when_settled * growth).max(self.spill.session_count() as f64 + 1.0);
-        self.spill.set_share(self.config.spill_share * far_kb / senders, rate, expected);
+        self.spill.set_share(self.config.spill_share * far_kb / directors, rate, expected);
     }
 
     fn apply_list(&mut self, scope: ListScope, entries: &[Entry], now: Micros) -> Vec<(ZoneId, Transition)> {
@@ -232,8 +232,8 @@
             if !running {
                 hall.streamer_left(entry.streamer);
             }
-            let before = self.streamers.insert(entry.streamer, info).and_then(|p| p.started_at);
-            if let Some(at) = entry.started_at.filter(|at| running && before.is_none_or(|b| *at > b)) {
+            let previous = self.streamers.insert(entry.streamer, info).and_then(|p| p.started_at);
+            if let Some(at) = entry.started_at.filter(|at| running && previous.is_none_or(|b| *at > b)) {
                 changes.extend(hall.streamer_restarted(now, at).map(|c| (entry.zone, c)));
             }
         }
@@ -242,12 +242,12 @@
         for p in self.streamers.values().filter(|p| p.running) {
             *racks.entry((p.hall, p.rack)).or_default() += p.capacity_kb;
         }
-        let mut links: BTreeMap<ZoneId, f64> = BTreeMap::new();
+        let mut capacities: BTreeMap<ZoneId, f64> = BTreeMap::new();
         for ((zone, _), kb) in racks {
-            *links.entry(zone).or_default() += kb.min(self.settings.rack_kb);
+            *capacities.entry(zone).or_default() += kb.min(self.settings.rack_kb);
         }
         for (zone, hall) in &mut self.halls {
-            match links.get(zone) {
+            match capacities.get(zone) {
                 // The last capacity of a hall without streamers stays: its viewers need as much elsewhere.
                 None => {
                     changes.extend(hall.no_streamer_running(now, &self.config).map(|c| (*zone, c)));
@@ -264,9 +264,9 @@
 
     fn observe(&mut self, now: Micros, from: StreamerId, seen: Observation) -> Option<(ZoneId, Transition)> {
         // Failures of a streamer that is draining or gone are no evidence about its hall; answers are.
-        let place = self.streamers.get(&from).filter(|p| p.running || seen == Observation::Reachable)?;
-        let change = self.halls.get_mut(&place.hall)?.observe(now, from, seen, &self.config)?;
-        Some((place.hall, change))
+        let info = self.streamers.get(&from).filter(|p| p.running || seen == Observation::Reachable)?;
+        let change = self.halls.get_mut(&info.hall)?.observe(now, from, seen, &self.config)?;
+        Some((info.hall, change))
     }
 
     /// Updates the usual arrival rate or, while a hall is not settled, decides whether the request spills.
@@ -275,15 +275,15 @@
             let elapsed_s = now.saturating_sub(self.usual_at) as f64 / SECOND as f64;
             let decay = (-elapsed_s / USUAL_RATE_WINDOW_S).exp();
             // Exponential smoothing; a young average is taken over the time since the start.
-            let span =
+            let window_s =
                 (now.saturating_sub(self.started_at) as f64 / SECOND as f64).clamp(1.0, USUAL_RATE_WINDOW_S);
-            self.usual_per_s = self.usual_per_s * decay + if request.returned { 0.0 } else { 1.0 / span };
+            self.usual_per_s = self.usual_per_s * decay + if request.returned { 0.0 } else { 1.0 / window_s };
             self.usual_at = now;
             return;
         }
-        let depth = REGULAR_DEPTH.max(self.usual_per_s);
+        let bucket_depth = REGULAR_DEPTH.max(self.usual_per_s);
         let elapsed_s = now.saturating_sub(self.tokens_at) as f64 / SECOND as f64;
-        self.tokens = (self.tokens + elapsed_s * REGULAR_FACTOR * self.usual_per_s).min(depth);
+        self.tokens = (self.tokens + elapsed_s * REGULAR_FACTOR * self.usual_per_s).min(bucket_depth);
         self.tokens_at = now;
         let is_regular = !request.returned && self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(is_regular));
@@ -297,17 +297,17 @@
         change(self.notes.entry(id).or_default());
     }
 
-    fn shortage_reported(&mut self, now: Micros, at: StreamerId) {
-        let hall = self.streamers.get(&at).map(|p| p.hall);
+    fn shortage_reported(&mut self, now: Micros, streamer: StreamerId) {
+        let hall = self.streamers.get(&streamer).map(|p| p.hall);
         if !self.settled && hall.is_some_and(|h| !self.is_closed(h)) {
             self.spill.back_off(now, self.config.back_off);
         }
     }
 
-    fn check_report(&mut self, now: Micros, at: StreamerId, report: &LoadReport) {
+    fn check_report(&mut self, now: Micros, streamer: StreamerId, report: &LoadReport) {
         let load = report.link.unwrap_or(0.0).max(report.uplink.unwrap_or(0.0));
         if load > MAX_LOAD {
-            self.shortage_reported(now, at);
+            self.shortage_reported(now, streamer);
         }
     }
 
@@ -433,14 +433,14 @@
     }
 
     fn constraints(&self, now: Micros, request: &Request, streamer: StreamerId) -> Constraints {
-        let Some(place) = self.streamers.get(&streamer).filter(|_| self.config.enabled) else {
+        let Some(info) = self.streamers.get(&streamer).filter(|_| self.config.enabled) else {
             return Constraints::NONE;
         };
-        let Some(hall) = self.halls.get(&place.hall) else { return Constraints::NONE };
+        let Some(hall) = self.halls.get(&info.hall) else { return Constraints::NONE };
         let note = if self.notes.is_empty() { RequestNote::default() } else { self.note(request.id) };
         let class = &self.settings.classes[request.class.0];
-        let mut tier = self.tier(request.class.0, place.hall);
-        if self.is_closed(place.hall) {
+        let mut tier = self.tier(request.class.0, info.hall);
+        if self.is_closed(info.hall) {
             // A trial goes first, and only with a request that can safely be retried elsewhere in time.
             let is_safe_trial = class.effect == Effect::Idempotent && note.failed_in.is_none();
             let allowed = is_safe_trial && hall.trial_due(now);
@@ -449,11 +449,11 @@
         if !self.settled && self.halls.values().any(|h| h.trial_due(now)) {
             tier += 1;
         }
-        tier += u32::from(note.failed_in == Some(place.hall));
+        tier += u32::from(note.failed_in == Some(info.hall));
         // Only if all halls are lost does a lost one get here.
         let allowed = hall.is_lost() || hall.admits(now, streamer, &self.config);
         let mut constraints = Constraints { tier, allowed, max_rate_kb: f64::INFINITY };
-        if self.counts_as_spill(request, place.hall) {
+        if self.counts_as_spill(request, info.hall) {
             let min_rate_kb = self.settings.rate_kb(request.class, class.lowest_rung);
             match self.spill.max_rate_kb(now, request.id, min_rate_kb) {
                 Some(rate_kb) => constraints.max_rate_kb = rate_kb,
