--- a/crates/halls/src/evidence.rs
+++ b/crates/halls/src/evidence.rs
@@ -1,29 +1,29 @@
 //! Evidence for and against the loss of one hall: a sequential probability ratio test (Wald, "Sequential
-//! Tests of Statistical Hypotheses", Annals of Mathematical Statistics 16, 1945) over signs from different
-//! streamers. A streamer counts once, with its latest sign, so that one bad streamer never loses a hall.
-//! Decides nothing.
+//! Tests of Statistical Hypotheses", Annals of Mathematical Statistics 16, 1945) over observations of
+//! different streamers. A streamer counts once, with its latest observation, so that a single failing
+//! streamer never makes a hall count as lost. The decision itself is made in `hall`.
 use std::collections::BTreeMap;
 use stonewharf_core::{Micros, StreamerId};
 
-/// What a streamer just showed.
+/// The outcome of a contact with a streamer, as far as it shows whether the streamer can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// It answered, whatever it said: it can be reached.
+    /// It answered, successfully or with an error.
     Reachable,
-    /// No connection to it came up, or one was refused.
+    /// A connection to it failed or was refused.
     Unreachable,
-    /// It can perhaps be reached and says nothing: a set-up or load test ran out of time.
+    /// A set-up or load test timed out, though the streamer may be reachable.
     TimedOut,
-    /// A connection broke, or its sessions were cut.
+    /// A connection broke, or its sessions were cut off.
     ConnectionLost,
 }
 
-/// Chance of a sign from a streamer of a hall that is lost.
+/// Probability of a failure when contacting a streamer of a lost hall.
 const PROBABILITY_IF_LOST: f64 = 0.95;
 
 impl Observation {
-    /// Chance of the sign from a streamer picked from a hall that is whole. The operators saw up to 18% of
-    /// streamers stand still at once; processes that restart, and so break connections, come in waves.
+    /// Probability of the observation at a random streamer of a healthy hall. Operators have seen up to 18%
+    /// of the streamers hang at once; process restarts, which break connections, come in waves.
     fn probability_if_healthy(self) -> f64 {
         match self {
             Observation::Unreachable => 0.05,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Log of the likelihood ratio, lost over whole.
+    /// Logarithm of the likelihood ratio, lost over healthy.
     fn log_likelihood_ratio(self) -> f64 {
         match self {
             Observation::Reachable => ((1.0 - PROBABILITY_IF_LOST) / self.probability_if_healthy()).ln(),
@@ -42,16 +42,16 @@
     }
 }
 
-/// The signs of one hall since the first bad one that still counts.
+/// The observations of one hall since the oldest failure that has not expired.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     failing: BTreeMap<StreamerId, (Micros, Observation)>,
-    /// Streamers that answered after the first bad sign; before it nobody needs to be remembered.
+    /// Streamers that answered after the first failure; answers before it do not count.
     answering: BTreeMap<StreamerId, Micros>,
 }
 
 impl Evidence {
-    /// Takes a sign; those older than `max_age` no longer count.
+    /// Records an observation, and drops those older than `max_age`.
     pub fn record(&mut self, now: Micros, streamer: StreamerId, observation: Observation, max_age: Micros) {
         if observation == Observation::Reachable {
             self.failing.remove(&streamer);
@@ -60,8 +60,8 @@
             }
         } else {
             self.answering.remove(&streamer);
-            // The heavier sign stays: a streamer that can't be reached does not become likelier for a
-            // time-out.
+            // The stronger failure stays: a time-out after a failed connection does not make it likelier
+            // that the streamer can be reached.
             let weight = |o: Observation| o.log_likelihood_ratio();
             let kept = self
                 .failing
@@ -73,7 +73,7 @@
         self.expire(now, max_age);
     }
 
-    /// Forgets what is older than `max_age`, and the good signs with the last bad one.
+    /// Drops observations older than `max_age`, and all answers once no failure is left.
     pub fn expire(&mut self, now: Micros, max_age: Micros) {
         if self.failing.is_empty() {
             return self.answering.clear();
@@ -85,31 +85,31 @@
         }
     }
 
-    /// Forgets a streamer that leaves as planned: its silence tells nothing of the hall.
+    /// Drops a streamer that leaves as planned: its failures are no evidence about the hall.
     pub fn forget(&mut self, streamer: StreamerId) {
         self.failing.remove(&streamer);
         self.answering.remove(&streamer);
     }
 
-    /// Starts over.
+    /// Drops all observations.
     pub fn clear(&mut self) {
         self.failing.clear();
         self.answering.clear();
     }
 
-    /// How many different streamers show a bad sign.
+    /// The number of different streamers whose latest contact failed.
     pub fn failing_streamers(&self) -> usize {
         self.failing.len()
     }
 
-    /// Log of the likelihood ratio, lost over whole; 0 without evidence.
+    /// Logarithm of the likelihood ratio of all observations, lost over healthy; 0 without evidence.
     pub fn log_likelihood_ratio(&self) -> f64 {
         let failing: f64 = self.failing.values().map(|entry| entry.1.log_likelihood_ratio()).sum();
         failing + self.answering.len() as f64 * Observation::Reachable.log_likelihood_ratio()
     }
 
-    /// The ratio from which a hall is taken for lost at a chance of a false alarm (Wald's upper bound, with
-    /// 0.95 for the power of the test).
+    /// The log-likelihood ratio from which a hall counts as lost, for a given probability of a false alarm
+    /// (Wald's upper bound, with 0.95 as the power of the test).
     pub fn loss_threshold(false_alarm: f64) -> f64 {
         (PROBABILITY_IF_LOST / false_alarm).ln()
     }
--- a/crates/halls/src/hall.rs
+++ b/crates/halls/src/hall.rs
@@ -1,55 +1,57 @@
-//! The state of one hall: whole, doubtful, lost, returning; and what each state allows. Transitions go by
-//! evidence, by the list, and by time. Knows nothing of sessions, tiers or other halls.
+//! The state machine of one hall (healthy, suspect, lost, returning) and how many set-ups each state admits.
+//! Transitions are caused by evidence, by discovery and by time. Sessions, tiers and other halls are handled
+//! in `limits`.
 use crate::evidence::{Evidence, Observation};
 use crate::settings::HallSettings;
 use stonewharf_core::{Micros, StreamerId};
 
-/// Part of a second by which streamers of a returning hall are opened and shut in turn.
+/// Interval at which it is chosen anew which streamers of a returning hall are open to set-ups.
 const TIME_SLICE_US: Micros = 250_000;
 
-/// Where a hall is on its way.
+/// The state of a hall.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HallState {
-    /// Nothing speaks against it.
+    /// There is no evidence of a loss.
     Healthy,
-    /// Some of its streamers fail; too little to tell.
+    /// Some of its streamers fail, but the evidence is too weak to call it lost.
     Suspect,
-    /// It can't be reached, or nothing in it runs.
+    /// It can't be reached, or no streamer runs in it.
     Lost {
-        /// Since when it is held to be lost.
+        /// When it was judged lost.
         since: Micros,
-        /// When it may be tried again.
+        /// When the next trial set-up may be sent to it.
         trial_at: Micros,
-        /// The wait after that trial.
+        /// The wait after that trial until the one after it.
         trial_interval: Micros,
     },
-    /// It answers again; load is raised in steps.
+    /// It answers again; its load is raised in steps.
     Returning {
-        /// Since when.
+        /// When the return began.
         since: Micros,
     },
 }
 
-/// What became of a hall.
+/// A change of a hall's state that is worth a log line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Transition {
-    /// It is taken for lost; so many different streamers spoke against it.
+    /// It was judged lost, with the number of different streamers that failed (0: by discovery alone).
     Lost(usize),
-    /// It was lost again while it returned; so many times by now.
+    /// It was lost again during its return, with the number of failed returns that still count.
     LostAgain(u32),
-    /// It answers again.
+    /// It answers again, so its return begins.
     Returning,
     /// Its return is complete.
     Recovered,
 }
 
-/// What is known of one hall. The times that rule it come from the settings of the deployment.
+/// The state of one hall and the evidence behind it. The warm-up time and the cold capacity come from the
+/// settings of the deployment.
 #[derive(Clone, Debug)]
 pub struct Hall {
     state: HallState,
     evidence: Evidence,
     failed_returns: u32,
-    /// Since when there has been no drop.
+    /// When the last return began or failed, or when `failed_returns` was last reduced.
     stable_since: Micros,
     warm_up: Micros,
     cold_capacity_fraction: f64,
@@ -64,27 +66,27 @@
         Hall { state, evidence, failed_returns: 0, stable_since: now, warm_up, cold_capacity_fraction }
     }
 
-    /// Its state.
+    /// The current state.
     pub fn state(&self) -> HallState {
         self.state
     }
 
-    /// Drops during returns that are not forgotten yet.
+    /// Number of failed returns that are not forgotten yet.
     pub fn failed_returns(&self) -> u32 {
         self.failed_returns
     }
 
-    /// Whether it is held to be lost.
+    /// Whether the hall is judged lost.
     pub fn is_lost(&self) -> bool {
         matches!(self.state, HallState::Lost { .. })
     }
 
-    /// Whether nothing needs care: neither lost nor returning.
+    /// Whether the hall is neither lost nor returning.
     pub fn is_settled(&self) -> bool {
         matches!(self.state, HallState::Healthy | HallState::Suspect)
     }
 
-    /// Takes a sign of one of its streamers.
+    /// Records an observation of one of the hall's streamers.
     pub fn observe(
         &mut self,
         now: Micros,
@@ -97,7 +99,7 @@
             return Some(self.begin_return(now));
         }
         if self.is_lost() {
-            return None; // it is known
+            return None; // Further failures of a lost hall tell nothing new.
         }
         self.evidence.record(now, streamer, observation, max_age);
         if self.evidence.log_likelihood_ratio() >= Evidence::loss_threshold(settings.false_alarm) {
@@ -111,13 +113,13 @@
         None
     }
 
-    /// The list says that nothing in it runs.
+    /// Called when discovery lists no running streamer in the hall.
     pub fn no_streamer_running(&mut self, now: Micros, settings: &HallSettings) -> Option<Transition> {
         (!self.is_lost()).then(|| self.mark_lost(now, 0, settings))
     }
 
-    /// The list says that one of its streamers started at a time; later than the loss, that begins the
-    /// return.
+    /// Called when discovery reports that a streamer of the hall started at `started_at`. A start after the
+    /// loss begins the return.
     pub fn streamer_restarted(&mut self, now: Micros, started_at: Micros) -> Option<Transition> {
         match self.state {
             HallState::Lost { since, .. } if started_at > since => Some(self.begin_return(now)),
@@ -125,12 +127,12 @@
         }
     }
 
-    /// A streamer of it leaves as planned.
+    /// Called when a streamer of the hall is drained or removed: it no longer counts as evidence.
     pub fn streamer_left(&mut self, streamer: StreamerId) {
         self.evidence.forget(streamer);
     }
 
-    /// Lets time pass.
+    /// Expires old evidence and failed returns, and completes a return whose time is up.
     pub fn tick(&mut self, now: Micros, settings: &HallSettings) -> Option<Transition> {
         self.evidence.expire(now, settings.evidence_ms * 1_000);
         if self.failed_returns > 0 && now >= self.stable_since + settings.quiet_s * 1_000_000 {
@@ -149,7 +151,8 @@
         }
     }
 
-    /// A trial was sent to it.
+    /// Called when a set-up was sent to the hall. If the hall is lost, this was a trial: the next one waits
+    /// twice as long, up to four times the configured interval.
     pub fn trial_sent(&mut self, now: Micros, settings: &HallSettings) {
         if let HallState::Lost { trial_at, trial_interval, .. } = &mut self.state {
             (*trial_at, *trial_interval) =
@@ -157,12 +160,13 @@
         }
     }
 
-    /// Whether it is lost and may be tried now.
+    /// Whether the hall is lost and a trial set-up may be sent now.
     pub fn trial_due(&self, now: Micros) -> bool {
         matches!(self.state, HallState::Lost { trial_at, .. } if now >= trial_at)
     }
 
-    /// Share of the set-ups that it may take, 0 to 1: in steps from what a cold streamer can do to all.
+    /// The share of set-ups that the hall may take, 0 to 1. During a return it rises in steps from a first
+    /// share, which follows from the capacity of a cold streamer, to all.
     pub fn admitted_share(&self, now: Micros, settings: &HallSettings) -> f64 {
         match self.state {
             HallState::Lost { .. } => 0.0,
@@ -178,9 +182,9 @@
         }
     }
 
-    /// Whether a streamer of it is open in this slice of the clock. Steps only ever shut slices that the
-    /// module's own pace for cold streamers leaves open: whatever step each controller believes in, all
-    /// together stay under that pace.
+    /// Whether a streamer of the hall is open to set-ups in the current time slice. The return steps only
+    /// close slices that the core's rate limit for cold streamers leaves open. So all directors together stay
+    /// under that limit, whichever step each of them is at.
     pub fn admits(&self, now: Micros, streamer: StreamerId, settings: &HallSettings) -> bool {
         let share = self.admitted_share(now, settings);
         share >= 1.0 || (share > 0.0 && time_slice_hash(now / TIME_SLICE_US, streamer) < share)
@@ -205,7 +209,8 @@
         Transition::Returning
     }
 
-    /// How many times as long as the warm-up a return lasts.
+    /// The duration of a return, as a multiple of the warm-up: doubles with each failed return, up to the
+    /// configured maximum.
     fn return_slowdown(&self, settings: &HallSettings) -> u32 {
         1u32.checked_shl(self.failed_returns).unwrap_or(u32::MAX).min(settings.slowest_return)
     }
@@ -215,8 +220,8 @@
     }
 }
 
-/// A number from 0 to 1 for a slice and a streamer, spread evenly (the finaliser of SplitMix64: Steele, Lea
-/// and Flood, OOPSLA 2014).
+/// Hashes a time slice and a streamer to a number from 0 to 1, evenly spread, by the finaliser of
+/// SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
 fn time_slice_hash(slice: u64, streamer: StreamerId) -> f64 {
     let mut hash =
         slice.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(streamer.0).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/halls/src/lib.rs
+++ b/crates/halls/src/lib.rs
@@ -1,8 +1,9 @@
-//! Loss and return of a hall. Keeps for each hall a state (whole, doubtful, lost, returning) judged by
-//! evidence over different streamers, and states terms for set-ups through the core's seam
-//! ([`stonewharf_core::PlacementLimits`]): tiers of preference, a limit on what spills across, and a return
-//! in steps. Owns no sessions, answers no request, does no I/O and reads no clock; every controller judges
-//! alone, by what it is told.
+//! Detects the loss and the return of a hall, and limits where set-ups go meanwhile. Each hall has a state
+//! (healthy, suspect, lost, returning), judged by evidence from different streamers. The resulting
+//! constraints on set-ups reach the core through [`stonewharf_core::PlacementLimits`]: tiers of preference,
+//! a limit on the sessions that spill over from a lost hall, and a return in steps. The crate owns no
+//! sessions, answers no requests, does no I/O and reads no clock; each director judges alone, by the events
+//! that it receives.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/halls/src/settings.rs
+++ b/crates/halls/src/settings.rs
@@ -1,16 +1,16 @@
-//! The settings of this part, as the operator file gives them: names, units, ranges, defaults. No decisions.
+//! The block `halls` of the operator file: keys, units, ranges and defaults.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Which halls come first for a session, where no order is stated for its class.
+/// Which halls are preferred for a session if no order is configured for its class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HallPreference {
-    /// All halls are alike; price and load decide.
+    /// No hall is preferred; price and load decide.
     #[default]
     None,
-    /// The director's own hall, then the others.
+    /// The director's own hall is preferred to the others.
     Home,
 }
 
@@ -18,32 +18,33 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HallSettings {
-    /// Whether any of this is in force.
+    /// Whether halls limit the placement of sessions at all.
     pub enabled: bool,
-    /// Which halls come first.
+    /// Which halls are preferred.
     pub prefer: HallPreference,
-    /// An order of halls for classes, by name; halls left out come last.
+    /// The order of halls for each class, by name; halls that are left out come last.
     pub order: BTreeMap<String, Vec<String>>,
-    /// Share of the standing halls' links and uplinks that sessions from a lost hall may fill, 0 to 1.
+    /// Share of the remaining halls' link and uplink capacity that sessions from a lost hall may use, 0 to 1.
     pub spill_share: f64,
-    /// Set-ups a second, over the fleet, that may spill; 0 = bounded by the share alone.
+    /// Set-ups a second that may spill over, for the whole fleet; 0 means limited by `spill_share` alone.
     pub spill_rate: f64,
-    /// What a shortage in a hall that stands leaves of each director's part, 0.1 to 1.
+    /// Factor on each director's share of the spill limit when a hall in use is short of capacity, 0.1 to 1.
     pub back_off: f64,
-    /// Chance that a whole hall is taken for lost by one run of bad luck (Wald's α), 1e-9 to 0.1.
+    /// Probability that a healthy hall is judged lost by chance (Wald's α), 1e-9 to 0.1.
     pub false_alarm: f64,
-    /// For how long a sign counts, milliseconds, 500 to 60,000.
+    /// How long an observation counts as evidence, in milliseconds, 500 to 60,000.
     pub evidence_ms: u64,
-    /// Time between trials of a lost hall by one director, milliseconds, 250 to 60,000; doubles up to
-    /// fourfold.
+    /// Time between trials of a lost hall by one director, in milliseconds, 250 to 60,000. It doubles with
+    /// each trial, up to four times this value.
     pub trial_ms: u64,
-    /// Steps of a return, 1 to 32; together they last the settings' warm-up.
+    /// Number of steps of a return, 1 to 32. Together they last as long as the warm-up of a streamer.
     pub return_steps: u32,
-    /// How many times as long a return may take after drops, 1 to 64; each drop doubles it.
+    /// Longest duration of a return after failed returns, as a multiple of the warm-up, 1 to 64. Each failed
+    /// return doubles it.
     pub slowest_return: u32,
-    /// Seconds without a drop after which one is forgotten, 1 to 3,600.
+    /// Seconds without a failed return after which one of them is forgotten, 1 to 3,600.
     pub quiet_s: u64,
-    /// The halls, by name; none stands for those that the deployment's settings have.
+    /// The names of the halls; if empty, those in the deployment's settings.
     pub names: Vec<String>,
 }
 
@@ -67,21 +68,21 @@
     }
 }
 
-/// A setting that can't be, with the key it stands under.
+/// A setting with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key} is {found}; {allowed}")]
 pub struct SettingError {
     /// The key, as a path from the block `halls` on.
     pub key: String,
-    /// What stands there.
+    /// The value that was found.
     pub found: String,
-    /// What may stand there.
+    /// Which values are allowed.
     pub allowed: String,
 }
 
 impl HallSettings {
-    /// Whether all values are within their ranges, no hall stands twice in an order, and all halls of an
-    /// order are declared where any are.
+    /// Checks that all values are within their ranges, that no hall appears twice in an order, and that
+    /// `names`, if not empty, declares all halls of an order.
     pub fn check(&self) -> Result<(), SettingError> {
         fn within<T: PartialOrd + std::fmt::Display>(
             key: &str,
@@ -112,7 +113,7 @@
                     return Err(SettingError { key, found: format!("unknown hall {hall:?}"), allowed });
                 }
                 if halls[..i].contains(hall) {
-                    let allowed = "each hall may stand in an order once".to_owned();
+                    let allowed = "each hall may appear in an order once".to_owned();
                     return Err(SettingError { key, found: format!("{hall:?} twice"), allowed });
                 }
             }
