--- a/crates/halls/tests/evidence.rs
+++ b/crates/halls/tests/evidence.rs
@@ -2,46 +2,48 @@
 use stonewharf_core::*;
 use stonewharf_halls::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
-fn lost(e: &Evidence) -> bool {
-    e.log_likelihood_ratio() >= Evidence::loss_threshold(0.001)
+fn is_lost(evidence: &Evidence) -> bool {
+    evidence.log_likelihood_ratio() >= Evidence::loss_threshold(0.001)
 }
 
 #[test]
-fn three_streamers_that_cannot_be_reached_are_a_loss_and_one_never_is() {
-    let mut e = Evidence::default();
-    (0..50).for_each(|i| e.record(i * 1_000, StreamerId(1), Observation::Unreachable, 5 * S));
-    assert!(!lost(&e), "one streamer, however often");
-    e.record(60_000, StreamerId(2), Observation::Unreachable, 5 * S);
-    assert!(!lost(&e));
-    e.record(70_000, StreamerId(3), Observation::Unreachable, 5 * S);
-    assert!(lost(&e));
+fn three_unreachable_streamers_are_a_loss_but_one_is_not() {
+    let mut evidence = Evidence::default();
+    (0..50).for_each(|i| evidence.record(i * 1_000, StreamerId(1), Observation::Unreachable, 5 * SECOND));
+    assert!(!is_lost(&evidence), "one streamer, however often");
+    evidence.record(60_000, StreamerId(2), Observation::Unreachable, 5 * SECOND);
+    assert!(!is_lost(&evidence));
+    evidence.record(70_000, StreamerId(3), Observation::Unreachable, 5 * SECOND);
+    assert!(is_lost(&evidence));
 }
 
 #[test]
-fn half_a_hall_that_answers_is_no_loss() {
-    let mut e = Evidence::default();
+fn a_hall_of_which_half_answers_is_not_lost() {
+    let mut evidence = Evidence::default();
     for i in 0..10 {
-        e.record(i * 1_000, StreamerId(i as u32), Observation::Unreachable, 5 * S);
-        e.record(i * 1_000, StreamerId(100 + i as u32), Observation::Reachable, 5 * S);
+        evidence.record(i * 1_000, StreamerId(i as u32), Observation::Unreachable, 5 * SECOND);
+        evidence.record(i * 1_000, StreamerId(100 + i as u32), Observation::Reachable, 5 * SECOND);
     }
-    assert!(!lost(&e));
+    assert!(!is_lost(&evidence));
 }
 
 #[test]
-fn answers_from_before_the_first_failure_do_not_hide_a_cut() {
-    let mut e = Evidence::default();
-    (0..20).for_each(|i| e.record(i, StreamerId(i as u32), Observation::Reachable, 5 * S));
-    (0..3).for_each(|i| e.record(S + i, StreamerId(i as u32), Observation::Unreachable, 5 * S));
-    assert!(lost(&e));
+fn answers_before_the_first_failure_do_not_hide_a_loss() {
+    let mut evidence = Evidence::default();
+    (0..20).for_each(|i| evidence.record(i, StreamerId(i as u32), Observation::Reachable, 5 * SECOND));
+    (0..3).for_each(|i| {
+        evidence.record(SECOND + i, StreamerId(i as u32), Observation::Unreachable, 5 * SECOND)
+    });
+    assert!(is_lost(&evidence));
 }
 
 #[test]
-fn old_signs_do_not_count() {
-    let mut e = Evidence::default();
-    e.record(0, StreamerId(1), Observation::Unreachable, 5 * S);
-    e.record(S, StreamerId(2), Observation::Unreachable, 5 * S);
-    e.record(7 * S, StreamerId(3), Observation::Unreachable, 5 * S);
-    assert_eq!(e.failing_streamers(), 1);
+fn expired_observations_do_not_count() {
+    let mut evidence = Evidence::default();
+    evidence.record(0, StreamerId(1), Observation::Unreachable, 5 * SECOND);
+    evidence.record(SECOND, StreamerId(2), Observation::Unreachable, 5 * SECOND);
+    evidence.record(7 * SECOND, StreamerId(3), Observation::Unreachable, 5 * SECOND);
+    assert_eq!(evidence.failing_streamers(), 1);
 }
