--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -15,30 +15,30 @@
 
 const DIRECTORS: usize = 4;
 const STREAMERS: usize = 10;
-const STREAMS: f64 = 24.0;
-const WARM_S: f64 = 3.0;
-const COLD_FROM: f64 = 0.4;
-const FALL: f64 = 3.0;
+const MAX_STREAMS: f64 = 24.0;
+const WARM_UP_S: f64 = 3.0;
+const COLD_CAPACITY_FRACTION: f64 = 0.4;
+const OVERLOAD_FAILURE_MULTIPLE: f64 = 3.0;
 
 /// Streamers 0 to 4 stand in hall-a, the others in hall-b; directors likewise.
-fn hall(i: usize, of: usize) -> &'static str {
-    if i < of / 2 { "hall-a" } else { "hall-b" }
+fn hall(index: usize, count: usize) -> &'static str {
+    if index < count / 2 { "hall-a" } else { "hall-b" }
 }
 
-fn member(i: usize, streamer: &Streamer, phase: &str, since_ms: u64) -> String {
+fn discovery_entry(i: usize, streamer: &Streamer, phase: &str, since_ms: u64) -> String {
     let (at, hall, cell) = (streamer.address, hall(i, STREAMERS), usize::from(i >= STREAMERS / 2));
     format!(
         r#"{{"id":"s-{i}","host_port":"{at}","locality":"{hall}","flavor":"two-core","cell":{cell},"phase":"{phase}","size":1,"up_since_ms":{since_ms}}}"#
     )
 }
 
-fn settings(me: usize) -> String {
+fn settings(index: usize) -> String {
     let changes = [
-        (r#""me": 0"#, format!(r#""me": {me}"#)),
+        (r#""me": 0"#, format!(r#""me": {index}"#)),
         (r#""peers_total": 1"#, format!(r#""peers_total": {DIRECTORS}"#)),
         (
             r#""my_zone": "hall-a""#,
-            format!(r#""my_zone": "{}", "dcs": ["hall-a", "hall-b"]"#, hall(me, DIRECTORS)),
+            format!(r#""my_zone": "{}", "dcs": ["hall-a", "hall-b"]"#, hall(index, DIRECTORS)),
         ),
         (r#""cells": 1, "racks": 1"#, r#""cells": 2, "racks": 2"#.into()),
         (r#""fleet_kb": 10000.0, "rack_kb": 10000.0"#, r#""fleet_kb": 60000.0, "rack_kb": 30000.0"#.into()),
@@ -58,7 +58,7 @@
 
 struct Director {
     child: Child,
-    at: String,
+    address: String,
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -69,18 +69,24 @@
     }
 }
 
-const SHIPPED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.hcl");
+const SHIPPED_OPERATOR_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.hcl");
 
-fn director(me: usize, folder: &Path, members: &str, bulletin: &Bulletin, operator: &str) -> Director {
+fn start_director(
+    index: usize,
+    folder: &Path,
+    members: &str,
+    bulletin: &Bulletin,
+    operator: &str,
+) -> Director {
     let config = format!(
-        r#"{{"name":"n{me}","listen":"127.0.0.1:0","seed":"{:x}","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
+        r#"{{"name":"n{index}","listen":"127.0.0.1:0","seed":"{:x}","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
         "bulletin":"{}","known":{{"no":1,"items":[{{"no":1,"roster":{{"revision":1,"complete":true,"members":[{members}]}}}}]}},
         "settings":{}}}"#,
-        me + 77,
+        index + 77,
         bulletin.address,
-        settings(me)
+        settings(index)
     );
-    let file = folder.join(format!("n{me}.json"));
+    let file = folder.join(format!("n{index}.json"));
     std::fs::write(&file, config).expect("written");
     let mut child = Command::new(env!("CARGO_BIN_EXE_stonewharf"))
         .args(["serve", "--log-format", "json", "--operator", operator, "--config"])
@@ -93,20 +99,20 @@
     reader.read_line(&mut line).expect("a line");
     let first: serde_json::Value = serde_json::from_str(&line).expect("one JSON object a line");
     assert_eq!(first["msg"], "serves");
-    let at = first["at"].as_str().expect("an address").to_owned();
+    let address = first["at"].as_str().expect("an address").to_owned();
     let log = Arc::new(Mutex::new(Vec::new()));
     let lines = Arc::clone(&log);
     thread::spawn(move || {
         reader.lines().map_while(Result::ok).for_each(|l| lines.lock().expect("held").push(l))
     });
-    Director { child, at, log }
+    Director { child, address, log }
 }
 
 /// What came back for each request: finals, and releases after the session stood.
 #[derive(Default)]
-struct Heard {
-    asked: BTreeMap<u64, bool>,
-    finals: BTreeMap<u64, u32>,
+struct Replies {
+    requested: BTreeMap<u64, bool>,
+    final_answers: BTreeMap<u64, u32>,
     served: u64,
 }
 
@@ -131,11 +137,11 @@
 }
 
 /// A crowd at one director: asks at a steady pace until told to stop, then waits for what is owed.
-fn crowd(at: &str, ids: &AtomicU64, stop: &AtomicBool) -> Heard {
-    let mut stream = TcpStream::connect(at).expect("taken");
+fn run_viewers(address: &str, ids: &AtomicU64, stop: &AtomicBool) -> Replies {
+    let mut stream = TcpStream::connect(address).expect("taken");
     stream.set_nodelay(true).expect("set");
     stream.set_read_timeout(Some(Duration::from_millis(5))).expect("set");
-    let (mut heard, mut standing, mut bytes) = (Heard::default(), BTreeMap::new(), Vec::new());
+    let (mut replies, mut established, mut bytes) = (Replies::default(), BTreeMap::new(), Vec::new());
     let mut next = Instant::now();
     let mut stopped = None;
     loop {
@@ -144,20 +150,20 @@
             let paid = id.is_multiple_of(3);
             let class = if paid { "replay" } else { "seat-view" };
             stream.write_all(&message(id, class)).expect("taken");
-            heard.asked.insert(id, paid);
+            replies.requested.insert(id, paid);
             next += Duration::from_millis(30);
             if stop.load(Ordering::Relaxed) {
                 stopped = Some(Instant::now());
             }
         }
-        let owed = heard.asked.len() > heard.finals.len();
-        if stopped.is_some_and(|at| !owed || at.elapsed() > Duration::from_secs(15)) {
-            return heard;
+        let is_waiting = replies.requested.len() > replies.final_answers.len();
+        if stopped.is_some_and(|at| !is_waiting || at.elapsed() > Duration::from_secs(15)) {
+            return replies;
         }
-        let mut part = [0; 4096];
-        match stream.read(&mut part) {
+        let mut chunk = [0; 4096];
+        match stream.read(&mut chunk) {
             Ok(0) => panic!("the director closed a connection in use"),
-            Ok(n) => bytes.extend(&part[..n]),
+            Ok(n) => bytes.extend(&chunk[..n]),
             Err(why) if matches!(why.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(why) => panic!("{why}"),
         }
@@ -170,12 +176,14 @@
             let session = u64::from_be_bytes(body[1..9].try_into().expect("eight bytes"));
             match body[0] {
                 9 => {
-                    *heard.finals.entry(session).or_default() += 1;
-                    heard.served += 1;
-                    standing.insert(session, ());
+                    *replies.final_answers.entry(session).or_default() += 1;
+                    replies.served += 1;
+                    established.insert(session, ());
                 }
                 // A release after the answer ends the session; before it, it is the answer.
-                12 if standing.remove(&session).is_none() => *heard.finals.entry(session).or_default() += 1,
+                12 if established.remove(&session).is_none() => {
+                    *replies.final_answers.entry(session).or_default() += 1
+                }
                 _ => {}
             }
         }
@@ -187,74 +195,78 @@
 }
 
 /// Waits until logs of at least two directors hold a line, which they must some time.
-fn wait_for(directors: &[Director], with: &str, past: &[usize]) {
-    let until = Instant::now() + Duration::from_secs(20);
+fn wait_for(directors: &[Director], text: &str, log_offsets: &[usize]) {
+    let deadline = Instant::now() + Duration::from_secs(20);
     let found = |(d, from): (&Director, &usize)| {
-        d.log.lock().expect("held").iter().skip(*from).any(|l| l.contains(with))
+        d.log.lock().expect("held").iter().skip(*from).any(|l| l.contains(text))
     };
-    while directors.iter().zip(past).filter(|p| found(*p)).count() < 2 {
-        assert!(Instant::now() < until, "no two directors ever said {with:?}");
+    while directors.iter().zip(log_offsets).filter(|p| found(*p)).count() < 2 {
+        assert!(Instant::now() < deadline, "no two directors ever said {text:?}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn a_hall_is_cut_twice_and_returns_within_the_counted_limit() {
+fn a_hall_lost_twice_returns_within_the_limit_for_cold_streamers() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("halls-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let streamers: Vec<Streamer> =
         (0..STREAMERS).map(|_| Streamer::start(Duration::from_millis(1500))).collect();
-    let listed: Vec<String> = (0..STREAMERS).map(|i| member(i, &streamers[i], "in_service", 0)).collect();
+    let listed: Vec<String> =
+        (0..STREAMERS).map(|i| discovery_entry(i, &streamers[i], "in_service", 0)).collect();
     let bulletin = Bulletin::start(1);
-    let directors: Vec<Director> =
-        (0..DIRECTORS).map(|me| director(me, &folder, &listed.join(","), &bulletin, SHIPPED)).collect();
+    let directors: Vec<Director> = (0..DIRECTORS)
+        .map(|index| start_director(index, &folder, &listed.join(","), &bulletin, SHIPPED_OPERATOR_FILE))
+        .collect();
     let (ids, stop) = (Arc::new(AtomicU64::new(1)), Arc::new(AtomicBool::new(false)));
-    let crowds: Vec<_> = directors
+    let viewers: Vec<_> = directors
         .iter()
         .map(|d| {
-            let (at, ids, stop) = (d.at.clone(), Arc::clone(&ids), Arc::clone(&stop));
-            thread::spawn(move || crowd(&at, &ids, &stop))
+            let (address, ids, stop) = (d.address.clone(), Arc::clone(&ids), Arc::clone(&stop));
+            thread::spawn(move || run_viewers(&address, &ids, &stop))
         })
         .collect();
     // Past the doubts of their own start.
-    thread::sleep(Duration::from_secs_f64(WARM_S + 1.0));
-    let far = STREAMERS / 2..STREAMERS;
+    thread::sleep(Duration::from_secs_f64(WARM_UP_S + 1.0));
+    let cut_streamers = STREAMERS / 2..STREAMERS;
     let mut returns: Vec<Instant> = Vec::new();
     for (round, mode) in [Mode::Silent, Mode::Refuses].into_iter().enumerate() {
-        let past: Vec<usize> = directors.iter().map(|d| d.log.lock().expect("held").len()).collect();
-        far.clone().for_each(|i| streamers[i].set(mode));
-        wait_for(&directors, "hall hall-b is lost", &past);
-        far.clone().for_each(|i| streamers[i].set(Mode::Answers));
+        let log_offsets: Vec<usize> = directors.iter().map(|d| d.log.lock().expect("held").len()).collect();
+        cut_streamers.clone().for_each(|i| streamers[i].set(mode));
+        wait_for(&directors, "hall hall-b is lost", &log_offsets);
+        cut_streamers.clone().for_each(|i| streamers[i].set(Mode::Answers));
         returns.push(Instant::now());
         let since = unix_ms();
-        let told: Vec<String> = far.clone().map(|i| member(i, &streamers[i], "in_service", since)).collect();
-        bulletin.tell(2 + round as u64, &told);
-        wait_for(&directors, "hall hall-b returns", &past);
-        thread::sleep(Duration::from_secs_f64(WARM_S * 1.5));
+        let entries: Vec<String> =
+            cut_streamers.clone().map(|i| discovery_entry(i, &streamers[i], "in_service", since)).collect();
+        bulletin.tell(2 + round as u64, &entries);
+        wait_for(&directors, "hall hall-b returns", &log_offsets);
+        thread::sleep(Duration::from_secs_f64(WARM_UP_S * 1.5));
     }
     stop.store(true, Ordering::Relaxed);
-    let heard: Vec<Heard> = crowds.into_iter().map(|c| c.join().expect("the crowd came through")).collect();
+    let replies: Vec<Replies> =
+        viewers.into_iter().map(|thread| thread.join().expect("the crowd came through")).collect();
 
     let mut served = 0;
-    for h in &heard {
-        served += h.served;
-        for id in h.asked.keys() {
-            assert_eq!(h.finals.get(id), Some(&1), "request {id}: one final answer");
+    for reply in &replies {
+        served += reply.served;
+        for id in reply.requested.keys() {
+            assert_eq!(reply.final_answers.get(id), Some(&1), "request {id}: one final answer");
         }
     }
-    let asked: usize = heard.iter().map(|h| h.asked.len()).sum();
-    assert!(served as f64 > 0.7 * asked as f64, "{served} of {asked} served");
+    let requested: usize = replies.iter().map(|reply| reply.requested.len()).sum();
+    assert!(served as f64 > 0.7 * requested as f64, "{served} of {requested} served");
 
-    let mut times: BTreeMap<String, u32> = BTreeMap::new();
+    let mut set_ups_by_session: BTreeMap<String, u32> = BTreeMap::new();
     let mut after_return = 0;
     for (i, streamer) in streamers.iter().enumerate() {
         let set_ups = streamer.set_ups();
         for s in set_ups.iter().filter(|s| s.class == "replay") {
-            *times.entry(s.session.clone()).or_default() += 1;
+            *set_ups_by_session.entry(s.session.clone()).or_default() += 1;
             assert_ne!(s.rung, Some(0), "replay is never set up on the lowest rung");
         }
-        for back in returns.iter().filter(|_| far.contains(&i)) {
-            let warm = *back + Duration::from_secs_f64(WARM_S);
+        for back in returns.iter().filter(|_| cut_streamers.contains(&i)) {
+            let warm = *back + Duration::from_secs_f64(WARM_UP_S);
             let cold: Vec<Instant> =
                 set_ups.iter().map(|s| s.at).filter(|at| (*back..warm).contains(at)).collect();
             after_return += cold.len();
@@ -262,8 +274,9 @@
                 let second = |at: &&Instant| **at + Duration::from_secs(1) > *last;
                 let window = cold[..=n].iter().rev().take_while(second).count();
                 // What it can do as this one comes: the rule counts by the present capacity.
-                let warmed = COLD_FROM + (1.0 - COLD_FROM) * (*last - *back).as_secs_f64() / WARM_S;
-                let allowed = FALL * STREAMS / WARM_S * warmed;
+                let warmed = COLD_CAPACITY_FRACTION
+                    + (1.0 - COLD_CAPACITY_FRACTION) * (*last - *back).as_secs_f64() / WARM_UP_S;
+                let allowed = OVERLOAD_FAILURE_MULTIPLE * MAX_STREAMS / WARM_UP_S * warmed;
                 assert!(
                     window as f64 <= allowed,
                     "streamer {i}: {window} set-ups in a second, {allowed:.1} allowed"
@@ -271,35 +284,39 @@
             }
         }
     }
-    assert!(times.values().all(|n| *n == 1), "no paid session is set up twice");
+    assert!(set_ups_by_session.values().all(|n| *n == 1), "no paid session is set up twice");
     assert!(after_return > 20, "the hall is used while it returns: {after_return}");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 /// A wrong operator file at SIGHUP must change nothing, and say so with its place; a right one is taken over.
 #[test]
-fn sighup_takes_the_operator_file_over_or_leaves_all_as_it_is() {
+fn sighup_applies_a_valid_operator_file_and_ignores_an_invalid_one() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("operator-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("operator.hcl");
     std::fs::write(&file, "halls {\n  enabled = false\n}\n").expect("written");
     let (streamer, bulletin) = (Streamer::start(Duration::from_secs(1)), Bulletin::start(1));
-    let listed = member(0, &streamer, "in_service", 0);
-    let director = director(0, &folder, &listed, &bulletin, &file.display().to_string());
+    let listed = discovery_entry(0, &streamer, "in_service", 0);
+    let director = start_director(0, &folder, &listed, &bulletin, &file.display().to_string());
     let changes = [
         ("halls {\n  spil_share = 0.3\n}\n", "operator.hcl:2: unknown setting spil_share"),
         ("halls {\n  names = [\"hall-x\"]\n}\n", "the deployment has no hall"),
         ("halls {\n  spill_share = 0.3\n}\n", "the configuration was read again"),
         ("", "the configuration was read again"),
     ];
-    for (text, told) in changes {
+    for (text, expected_log) in changes {
         std::fs::write(&file, text).expect("written");
-        let past = director.log.lock().expect("held").len();
+        let log_offset = director.log.lock().expect("held").len();
         let sent = Command::new("kill").args(["-HUP", &director.child.id().to_string()]).status();
         assert!(sent.expect("sent").success());
-        let until = Instant::now() + Duration::from_secs(20);
-        while !director.log.lock().expect("held")[past..].iter().any(|l| l.contains(told)) {
-            assert!(Instant::now() < until, "never said {told:?}: {:?}", director.log.lock().expect("held"));
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while !director.log.lock().expect("held")[log_offset..].iter().any(|l| l.contains(expected_log)) {
+            assert!(
+                Instant::now() < deadline,
+                "never said {expected_log:?}: {:?}",
+                director.log.lock().expect("held")
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
