--- a/crates/halls/tests/constraints.rs
+++ b/crates/halls/tests/constraints.rs
@@ -1,4 +1,4 @@
-//! The terms that halls state for a set-up, case by case.
+//! Tests of the constraints that halls put on set-ups.
 use stonewharf_core::*;
 use stonewharf_halls::{HallPreference, HallSettings, HallState, Halls};
 
@@ -101,7 +101,7 @@
         trial.allowed && trial.tier < constraints(&halls, later, &idempotent, 0).tier,
         "a trial goes first"
     );
-    assert!(!constraints(&halls, later, &paid, 1).allowed, "a paid session is no trial");
+    assert!(!constraints(&halls, later, &paid, 1).allowed, "a paid session is never used as a trial");
     halls.attempt_sent(later, &idempotent, StreamerId(1), 0);
     assert!(!constraints(&halls, later, &request(4, 1, false), 1).allowed, "one trial at a time");
 }
@@ -135,17 +135,17 @@
     }
     assert_eq!(admitted, 10, "ten sessions of 100 kB a second");
     halls.rung_changed(RequestId(0), 1);
-    assert!((halls.spill().used_kb() - 1_200.0).abs() < 1e-9, "a step up is booked");
+    assert!((halls.spill().used_kb() - 1_200.0).abs() < 1e-9, "the higher rate is counted");
     let (outcome, report) = (Outcome::Ok, LoadReport::default());
     let (request, streamer) = (RequestId(0), StreamerId(0));
     observe(&mut halls, SECOND, Event::Ended { request, attempt: 0, streamer, outcome, last: true, report });
-    assert!((halls.spill().used_kb() - 900.0).abs() < 1e-9, "and an end as well");
+    assert!((halls.spill().used_kb() - 900.0).abs() < 1e-9, "and an ended session no longer");
 }
 
 #[test]
 fn draining_is_no_evidence_but_a_hall_without_streamers_is_lost() {
     let mut halls = halls(HallSettings::default());
-    // Sessions stand there, so that the streamers stay known.
+    // Streamers with sessions stay known after they are gone.
     for i in [1, 3, 5] {
         halls.attempt_sent(SECOND, &request(u64::from(i), 1, false), StreamerId(i), 0);
     }
@@ -154,7 +154,7 @@
     lose_hall(&mut halls, SECOND, 1);
     assert!(
         !matches!(halls.state(HALL_B), HallState::Lost { .. }),
-        "those that drain say nothing of the hall"
+        "draining streamers are no evidence about the hall"
     );
     let entries = [1, 3, 5, 7].map(|i| entry(i, Standing::Gone, None)).to_vec();
     let log = observe(&mut halls, SECOND, Event::List { scope: ListScope::Delta, entries });
--- a/crates/halls/tests/evidence.rs
+++ b/crates/halls/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Tests of `evidence`.
+//! Tests of the evidence for the loss of a hall.
 use stonewharf_core::*;
 use stonewharf_halls::*;
 
--- a/crates/halls/tests/properties.rs
+++ b/crates/halls/tests/properties.rs
@@ -1,4 +1,5 @@
-//! The state of a hall against random steps, and what several directors do together, each judging alone.
+//! Property tests: the states of a hall under random events, and the limits that several directors keep
+//! together although each judges alone.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -8,8 +9,7 @@
 const SECOND: Micros = 1_000_000;
 const DEFAULT_SEED: u64 = 20;
 
-/// So many cases from a fixed seed, so that the verdict is the same every time; PROPTEST_RNG_SEED=N draws
-/// others.
+/// A fixed seed makes the result repeatable; PROPTEST_RNG_SEED=N runs other cases.
 fn proptest_config(cases: u32) -> ProptestConfig {
     let config = ProptestConfig { cases, failure_persistence: None, ..Default::default() };
     let fixed = if matches!(config.rng_seed, RngSeed::Random) {
@@ -86,8 +86,9 @@
 proptest! {
     #![proptest_config(proptest_config(256))]
 
-    /// Whatever comes in, a hall is lost only by several different streamers, never while most of them
-    /// answer, comes back only by an answer or a restart, and its share stays within 0 and 1.
+    /// Under any sequence of events, a hall is judged lost only by failures of several different streamers,
+    /// never while most of them answer; it returns only after an answer or a restart; and the admitted share
+    /// stays between 0 and 1.
     #[test]
     fn state_changes_need_evidence(
         steps in prop::collection::vec((0u8..9, 0u32..12, 0u64..400_000), 1..300),
@@ -117,7 +118,7 @@
             let recent = failing.values().filter(|at| **at + config.evidence_ms * 1_000 >= now).count();
             match change {
                 Some(Transition::Lost(_) | Transition::LostAgain(_)) => {
-                    prop_assert!(recent >= 3, "{recent} streamers lost a hall");
+                    prop_assert!(recent >= 3, "a hall was judged lost by {recent} streamers");
                     prop_assert!(hall.is_lost());
                     failing.clear();
                 }
@@ -139,7 +140,8 @@
         }
     }
 
-    /// A return is raised, never lowered, and done after the warm-up times its slowness.
+    /// The admitted share never falls during a return, and the return is complete after the warm-up time
+    /// multiplied by the slowdown from failed returns.
     #[test]
     fn admitted_share_never_falls_during_a_return(failures in 0u32..5, steps in 1u32..9) {
         let config = HallSettings { return_steps: steps, quiet_s: 3_600, ..HallSettings::default() };
@@ -173,17 +175,18 @@
     }
 }
 
-/// A director of the joint runs: the module with its halls, and what it has out.
+/// One of several directors under test.
 struct Director {
     controller: Controller,
     halls: SharedHalls,
     /// Streamers of whose failure or restart it knows.
     knows: HashSet<StreamerId>,
+    /// When discovery tells it of the return; 0 once that has happened.
     notified_at: Micros,
 }
 
-/// A director with the list as the bulletin has it at `now`: the odd streamers came back at `returned`, if
-/// announced.
+/// Creates a director that starts at `now` with discovery's list, in which the odd streamers restarted at
+/// `returned`, if given.
 fn new_director(
     me: u32,
     controllers: u32,
@@ -207,9 +210,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { max_shrink_iters: 32, ..proptest_config(24) })]
 
-    /// Directors that know of a return, by the list, by failures or since they started later, keep the
-    /// counted limit together, whenever each hears of it and whoever restarts in between; what they book as
-    /// spilled stays within the stated limit, however unevenly viewers come to them.
+    /// Directors that know of a return (by discovery, by failures or because they started later) together
+    /// keep the limit on set-ups at cold streamers, whenever each learns of it and whichever restarts in
+    /// between. The sessions that they count as spilled stay within the spill limit, however unevenly viewers
+    /// are distributed over the directors.
     #[test]
     fn directors_together_keep_the_cold_rate_and_the_spill_limit(
         controllers in 1u32..14,
--- a/crates/halls/tests/spill.rs
+++ b/crates/halls/tests/spill.rs
@@ -1,4 +1,4 @@
-//! Tests of `spill`.
+//! Tests of the spill budget.
 use stonewharf_core::*;
 use stonewharf_halls::*;
 
@@ -10,7 +10,7 @@
     budget.set_share(1_000.0, f64::INFINITY, 4.0);
     for id in 0..10 {
         if let Some(rate_kb) = budget.max_rate_kb(0, RequestId(id), 100.0) {
-            assert!(rate_kb <= 250.0, "an even share");
+            assert!(rate_kb <= 250.0, "more than an equal part of the share");
             budget.record_set_up(0, RequestId(id), rate_kb);
         }
     }
--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -1,6 +1,6 @@
-//! Two halls of stand-in streamers, real directors on real sockets. One hall is cut by silence, returns
-//! cold, is cut again by refusals and returns again. Every set-up is counted at the streamers, every answer
-//! at the viewers.
+//! Loss and return of a hall, with simulated streamers in two halls and real directors on real sockets. One
+//! hall stops answering, returns cold, then refuses connections and returns again. Every set-up is counted at
+//! the streamers and every answer at the viewers.
 mod common;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -20,7 +20,7 @@
 const COLD_CAPACITY_FRACTION: f64 = 0.4;
 const OVERLOAD_FAILURE_MULTIPLE: f64 = 3.0;
 
-/// Streamers 0 to 4 stand in hall-a, the others in hall-b; directors likewise.
+/// The first half of the streamers and of the directors is in hall-a, the other half in hall-b.
 fn hall(index: usize, count: usize) -> &'static str {
     if index < count / 2 { "hall-a" } else { "hall-b" }
 }
@@ -108,7 +108,7 @@
     Director { child, address, log }
 }
 
-/// What came back for each request: finals, and releases after the session stood.
+/// The requests sent, the number of final answers to each, and the number of sessions established.
 #[derive(Default)]
 struct Replies {
     requested: BTreeMap<u64, bool>,
@@ -136,7 +136,7 @@
     [&(body.len() as u16).to_be_bytes()[..], &body].concat()
 }
 
-/// A crowd at one director: asks at a steady pace until told to stop, then waits for what is owed.
+/// Sends requests to one director at a steady rate until `stop` is set, then waits for the missing answers.
 fn run_viewers(address: &str, ids: &AtomicU64, stop: &AtomicBool) -> Replies {
     let mut stream = TcpStream::connect(address).expect("taken");
     stream.set_nodelay(true).expect("set");
@@ -162,7 +162,7 @@
         }
         let mut chunk = [0; 4096];
         match stream.read(&mut chunk) {
-            Ok(0) => panic!("the director closed a connection in use"),
+            Ok(0) => panic!("the director closed a connection that is in use"),
             Ok(n) => bytes.extend(&chunk[..n]),
             Err(why) if matches!(why.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(why) => panic!("{why}"),
@@ -180,7 +180,7 @@
                     replies.served += 1;
                     established.insert(session, ());
                 }
-                // A release after the answer ends the session; before it, it is the answer.
+                // A release after the answer ends an established session; before, it is the final answer.
                 12 if established.remove(&session).is_none() => {
                     *replies.final_answers.entry(session).or_default() += 1
                 }
@@ -194,14 +194,14 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// Waits until logs of at least two directors hold a line, which they must some time.
+/// Waits until the logs of at least two directors contain `text` after the given offsets; panics after 20 s.
 fn wait_for(directors: &[Director], text: &str, log_offsets: &[usize]) {
     let deadline = Instant::now() + Duration::from_secs(20);
     let found = |(d, from): (&Director, &usize)| {
         d.log.lock().expect("held").iter().skip(*from).any(|l| l.contains(text))
     };
     while directors.iter().zip(log_offsets).filter(|p| found(*p)).count() < 2 {
-        assert!(Instant::now() < deadline, "no two directors ever said {text:?}");
+        assert!(Instant::now() < deadline, "fewer than two directors logged {text:?}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -226,7 +226,7 @@
             thread::spawn(move || run_viewers(&address, &ids, &stop))
         })
         .collect();
-    // Past the doubts of their own start.
+    // Waits until the directors have finished their own start.
     thread::sleep(Duration::from_secs_f64(WARM_UP_S + 1.0));
     let cut_streamers = STREAMERS / 2..STREAMERS;
     let mut returns: Vec<Instant> = Vec::new();
@@ -245,7 +245,7 @@
     }
     stop.store(true, Ordering::Relaxed);
     let replies: Vec<Replies> =
-        viewers.into_iter().map(|thread| thread.join().expect("the crowd came through")).collect();
+        viewers.into_iter().map(|thread| thread.join().expect("the viewer thread did not panic")).collect();
 
     let mut served = 0;
     for reply in &replies {
@@ -273,7 +273,7 @@
             for (n, last) in cold.iter().enumerate() {
                 let second = |at: &&Instant| **at + Duration::from_secs(1) > *last;
                 let window = cold[..=n].iter().rev().take_while(second).count();
-                // What it can do as this one comes: the rule counts by the present capacity.
+                // The limit follows from the capacity at the time of this set-up.
                 let warmed = COLD_CAPACITY_FRACTION
                     + (1.0 - COLD_CAPACITY_FRACTION) * (*last - *back).as_secs_f64() / WARM_UP_S;
                 let allowed = OVERLOAD_FAILURE_MULTIPLE * MAX_STREAMS / WARM_UP_S * warmed;
@@ -285,11 +285,12 @@
         }
     }
     assert!(set_ups_by_session.values().all(|n| *n == 1), "no paid session is set up twice");
-    assert!(after_return > 20, "the hall is used while it returns: {after_return}");
+    assert!(after_return > 20, "only {after_return} set-ups in the hall during its returns");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// A wrong operator file at SIGHUP must change nothing, and say so with its place; a right one is taken over.
+/// At SIGHUP, an invalid operator file must change nothing and be reported with its position in the file; a
+/// valid one is applied.
 #[test]
 fn sighup_applies_a_valid_operator_file_and_ignores_an_invalid_one() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("operator-{}", std::process::id()));
@@ -314,7 +315,7 @@
         while !director.log.lock().expect("held")[log_offset..].iter().any(|l| l.contains(expected_log)) {
             assert!(
                 Instant::now() < deadline,
-                "never said {expected_log:?}: {:?}",
+                "{expected_log:?} is not in the log: {:?}",
                 director.log.lock().expect("held")
             );
             thread::sleep(Duration::from_millis(5));
