--- a/crates/continuity/src/hand/deeds.rs
+++ b/crates/continuity/src/coordinator/actions.rs
@@ -1,11 +1,11 @@
 //! What one director's part in estates wants done, and what it has to tell.
-use crate::estates::Command;
+use crate::command::Command;
+use crate::message::{EndKind, Message};
 use crate::record::{Id, Record};
-use crate::word::{StrayKind, Word};
 
 /// Who this director is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Me {
+pub struct LocalDirector {
     /// Its name.
     pub name: String,
     /// Its hall.
@@ -16,43 +16,43 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum Action {
     /// Tell another director.
-    Send(String, Word),
+    Send(String, Message),
     /// Have this agreed.
-    Order(Command),
+    Propose(Command),
     /// Have the voters confirm that this director leads; the answer goes to [`crate::Hand::confirmed`].
-    Confirm,
+    ConfirmLeadership,
     /// These sessions are this director's from now on.
     Adopt(Vec<(Id, Record)>),
     /// Have a session ended at its streamer; its proof goes to [`crate::Hand::settled`].
-    Settle(Id, String),
+    EndAtStreamer(Id, String),
     /// End a session that stands here, since its viewer came again elsewhere.
-    Yield(Id),
+    EndForReturn(Id),
     /// Release an inherited session for which there is no room, at both sides.
-    Cut(Id, Record),
+    Release(Id, Record),
     /// These sessions are another director's from now on: forget them, and touch nothing of them.
-    LayDown(Vec<Id>),
+    Forget(Vec<Id>),
     /// Something that another director heard on a session of this one.
-    Stray(Id, String, StrayKind),
+    MisroutedEnd(Id, String, EndKind),
     /// Log what has changed.
-    Tell(News),
+    Log(LogEvent),
 }
 
 /// What has changed, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum LogEvent {
     /// It may act on its estate of this life.
-    Leased(u64),
+    LeaseAcquired(u64),
     /// It may not: the lease ran out, with so many sessions.
-    Lapsed(usize),
+    LeaseExpired(usize),
     /// Its estate of a life is another's: so many sessions.
-    LaidDown(u64, usize),
+    HandedOver(u64, usize),
     /// It takes over: whose, which life, under which epoch.
-    TakesOver(String, u64, u64),
+    TakeoverStarted(String, u64, u64),
     /// It has taken over, so many sessions, of them with an attempt out, and whether keepers had everything;
     /// `None`: they had nothing.
-    TookOver {
+    TakeoverDone {
         /// Whose.
         owner: String,
         /// Under which epoch.
@@ -62,32 +62,32 @@
         /// With an attempt out.
         out: usize,
         /// See above.
-        whole: Option<bool>,
+        complete: Option<bool>,
     },
     /// Its keepers.
-    Keepers(Vec<String>),
+    ReplicasChosen(Vec<String>),
     /// A keeper lags, and is replaced.
-    Lags(String),
+    ReplicaLags(String),
     /// This director gives leases.
-    Reigns(u64),
+    GrantorTermStarted(u64),
     /// A life is to be closed.
-    Closes(String, u64),
+    Closing(String, u64),
     /// An attempt that was out is proven to be over.
-    Settled(Id),
+    EndConfirmed(Id),
     /// It could not be proven.
-    Unsettled(Id),
+    EndUnconfirmed(Id),
 }
 
 /// An error that is planted on purpose, to see that checks find it.
 #[cfg(feature = "planted")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum PlantedFault {
     /// A life is closed as soon as it seems lost, whatever its lease.
-    NoWait,
+    CloseBeforeExpiry,
     /// An heir acts on what it fetched before that is agreed.
-    Early,
+    ActBeforeAgreed,
     /// A viewer who comes again is served at once.
-    PaidAgain,
+    ServeReturnAtOnce,
     /// Bytes go out by a lease that has run out.
-    LookOnce,
+    IgnoreLeaseExpiry,
 }
--- /dev/null
+++ b/crates/continuity/src/coordinator/end_sessions.rs
@@ -0,0 +1,80 @@
+//! Sessions that are to be ended at their streamers, until that is proven.
+use super::{Action, Coordinator, END_RETRY_US, EndingSession, LogEvent, MAX_END_TRIES};
+use crate::message::RegisteredSession;
+use crate::record::{Id, Stage};
+use stonewharf_core::Micros;
+
+impl Coordinator {
+    /// A viewer came again elsewhere, and this session of it is to be ended first.
+    pub(super) fn end_for_returning_viewer(&mut self, held: &RegisteredSession) {
+        let id = held.id;
+        let own = (held.owner.as_str(), held.life) == (self.me.name.as_str(), self.own.life());
+        match self.record(id).map(|r| (r.stage, r.streamer.clone())) {
+            _ if self.ending.contains_key(&id) => {}
+            // Of its own it knows that nothing runs.
+            None if own => {
+                self.with_registry(|registry, context, out| registry.session_over(context, id, out))
+            }
+            // Inherited, and no keeper knew of it: it may run, and is ended where it was set up.
+            None if self.took_over(held) => {
+                self.blocked.remove(&id);
+                self.end_at_streamer(id, held.streamer.clone());
+            }
+            None => {} // of a former life that is not closed, or another's
+            Some((Stage::Established, streamer)) if self.may_act(self.now, id) => {
+                self.actions.push(Action::EndForReturn(id));
+                self.end_at_streamer(id, streamer);
+            }
+            Some(_) => {} // who asks will ask again
+        }
+    }
+
+    /// Whether a session is of an estate, or a part of one, that this director took over.
+    fn took_over(&self, held: &RegisteredSession) -> bool {
+        let (name, life) = (&self.me.name, self.own.life());
+        let takeover = self.ownership.takeover_of(&held.owner, held.life, held.id).filter(|t| t.done);
+        takeover.and_then(|t| t.successor.as_ref()).is_some_and(|h| (&h.name, h.life) == (name, life))
+    }
+
+    /// Has a session ended at its streamer, until that is proven.
+    pub(crate) fn end_at_streamer(&mut self, id: Id, streamer: String) {
+        let again_at = self.now.saturating_add(END_RETRY_US);
+        self.actions.push(Action::EndAtStreamer(id, streamer.clone()));
+        self.ending.entry(id).or_insert(EndingSession { streamer, again_at, tries: 1 });
+    }
+
+    /// Its streamer confirmed that a session is over.
+    pub fn end_confirmed(&mut self, now: Micros, id: Id) {
+        self.now = self.now.max(now);
+        if self.ending.remove(&id).is_some() {
+            self.update_session(id, None);
+            self.actions.push(Action::Log(LogEvent::EndConfirmed(id)));
+            self.with_registry(|registry, context, out| registry.session_over(context, id, out));
+        }
+    }
+
+    /// A streamer's processes of before a moment are gone, and with them what it ran.
+    pub fn streamer_restarted(&mut self, now: Micros, streamer: &str) {
+        let gone = self.ending.iter().filter(|(_, s)| s.streamer == streamer);
+        let gone: Vec<Id> = gone.map(|(id, _)| *id).collect();
+        gone.into_iter().for_each(|id| self.end_confirmed(now, id));
+    }
+
+    /// Sessions that are to be ended and are not proven to be.
+    pub(super) fn retry_ends(&mut self) {
+        let now = self.now;
+        let late: Vec<Id> =
+            self.ending.iter().filter(|(_, s)| s.again_at <= now).map(|(id, _)| *id).collect();
+        for id in late {
+            let Some(ending) = self.ending.get_mut(&id) else { continue };
+            (ending.again_at, ending.tries) = (now.saturating_add(END_RETRY_US), ending.tries + 1);
+            let (streamer, tries) = (ending.streamer.clone(), ending.tries);
+            if tries > MAX_END_TRIES {
+                self.ending.remove(&id);
+                self.actions.push(Action::Log(LogEvent::EndUnconfirmed(id)));
+            } else {
+                self.actions.push(Action::EndAtStreamer(id, streamer));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/continuity/src/grantor.rs
@@ -0,0 +1,155 @@
+//! What the director does that leads the agreed log: it has its reign agreed, gives leases once its lead was
+//! confirmed, has lives closed whose leases have run out, and finds heirs for what nobody has.
+use crate::command::{Command, DirectorId};
+use crate::coordinator::{Action, Coordinator, LogEvent};
+use crate::member::Member;
+use crate::message::Message;
+use crate::ownership::MAX_SUCCESSORS;
+use crate::record::{hash_fnv1a, rendezvous_weight};
+use std::cmp::Reverse;
+use stonewharf_core::Micros;
+
+/// Heirs of an estate whose size is not known.
+const SUCCESSORS_FOR_UNKNOWN_SIZE: usize = 2;
+
+impl Coordinator {
+    /// Whether this director leads the agreed log now, and knows all that is agreed.
+    pub fn set_leading(&mut self, now: Micros, leads: bool) {
+        self.now = self.now.max(now);
+        if self.leads && !leads {
+            self.grantor.end_term();
+            self.session_counts.clear();
+            self.proposed.clear();
+        }
+        self.leads = leads;
+    }
+
+    /// Most voters confirmed that this director leads, or it could not be found out.
+    pub fn leadership_confirmed(&mut self, now: Micros, confirmed: bool) {
+        self.now = self.now.max(now);
+        if !confirmed || !self.leads {
+            return self.grantor.confirmation_failed();
+        }
+        for grant in self.grantor.confirmation_succeeded(self.now) {
+            self.send(&grant.name, Message::LeaseGrant { life: grant.life, number: grant.number });
+        }
+    }
+
+    fn is_grantor(&self) -> bool {
+        let grantor = self.ownership.grantor.as_ref();
+        grantor.is_some_and(|g| g.name == self.me.name && g.life == self.me.incarnation)
+    }
+
+    /// What is agreed has changed: another may reign by now.
+    pub(crate) fn check_grantor(&mut self) {
+        if !self.is_grantor() {
+            self.grantor.end_term();
+            self.proposed.clear();
+        }
+    }
+
+    pub(crate) fn run_grantor(&mut self) {
+        if !self.leads {
+            return;
+        }
+        if !self.is_grantor() {
+            let (name, life) = (self.me.name.clone(), self.me.incarnation);
+            return self.propose("reign".into(), Command::BecomeGrantor { name, life });
+        }
+        if self.grantor.term() != Some(self.ownership.grantor_term) {
+            self.grantor.begin_term(self.now, self.ownership.grantor_term);
+            self.actions.push(Action::Log(LogEvent::GrantorTermStarted(self.ownership.grantor_term)));
+        }
+        if self.grantor.begin_confirmation() {
+            self.actions.push(Action::ConfirmLeadership);
+        }
+        self.close_lost();
+        self.assign_successors();
+    }
+
+    /// Whether the process of a life is gone, as the fleet sees it.
+    pub(crate) fn is_lost(&self, name: &str, life: u64) -> bool {
+        match self.members.iter().find(|m| m.name == name) {
+            Some(m) => !m.in_fleet || life < m.incarnation,
+            None => false, // a fleet that is only being met
+        }
+    }
+
+    /// Has lives closed that are gone and whose leases have run out.
+    fn close_lost(&mut self) {
+        let kept: Vec<(String, u64)> = self.ownership.replicas.keys().cloned().collect();
+        for (name, life) in kept {
+            let proposed = self.proposed.contains(&(name.clone(), life));
+            if !self.is_lost(&name, life) {
+                if !proposed {
+                    self.grantor.cancel_close(&name, life);
+                }
+                continue;
+            }
+            let close = self.grantor.try_close(self.now, &name, life);
+            #[cfg(feature = "planted")]
+            let close = match self.planted_fault {
+                Some(crate::coordinator::PlantedFault::CloseBeforeExpiry) => Ok(self.ownership.grantor_term),
+                _ => close,
+            };
+            let Ok(grantor_term) = close else { continue };
+            if self.proposed.insert((name.clone(), life)) {
+                self.actions.push(Action::Log(LogEvent::Closing(name.clone(), life)));
+            }
+            let size = self.session_counts.get(&name).filter(|(of, _)| *of == life).map(|(_, size)| *size);
+            let successors = self.successors(&name, life, size);
+            let parts = successors.len() as u32;
+            self.propose(
+                format!("close {name} {life}"),
+                Command::Close { grantor_term, name, life, successors, parts },
+            );
+        }
+    }
+
+    /// Who takes an estate: its keepers first, who have it already, then those of its hall.
+    fn successors(&self, owner: &str, life: u64, size: Option<usize>) -> Vec<DirectorId> {
+        let replicas = self.ownership.replicas.get(&(owner.to_owned(), life));
+        let keeps = |m: &Member| replicas.is_some_and(|k| k.contains(&m.name));
+        let hall = self.members.iter().find(|m| m.name == owner).map(|m| m.hall.clone());
+        // Who has asked for a lease lately has an estate of its own to take it into.
+        let mut able: Vec<(&Member, u64, usize)> = (self.members.iter())
+            .filter(|m| m.serving && m.name != owner)
+            .filter_map(|m| self.session_counts.get(&m.name).map(|(life, size)| (m, *life, *size)))
+            .filter(|(m, life, _)| !self.ownership.is_closed(&m.name, *life))
+            .collect();
+        let many =
+            size.map_or(SUCCESSORS_FOR_UNKNOWN_SIZE, |size| size.div_ceil(self.set.sessions_per_successor));
+        let key = hash_fnv1a(owner);
+        able.sort_by_key(|(m, _, size)| {
+            let full = *size >= self.set.max_sessions;
+            let away = Some(&m.hall) != hall.as_ref();
+            Reverse((!full, keeps(m), !away, rendezvous_weight(key, &m.name)))
+        });
+        let successor = |(m, life, _): (&Member, u64, usize)| DirectorId { name: m.name.clone(), life };
+        able.into_iter().take(many.clamp(1, MAX_SUCCESSORS)).map(successor).collect()
+    }
+
+    /// Finds somebody for each takeover without an heir.
+    fn assign_successors(&mut self) {
+        let grantor_term = self.ownership.grantor_term;
+        let open: Vec<_> = self
+            .ownership
+            .without_successor()
+            .map(|(epoch, t)| (epoch, t.owner.clone(), t.clone()))
+            .collect();
+        for (epoch, owner, takeover) in open {
+            let all = self.successors(&owner, takeover.life, Some(usize::MAX / 2));
+            let replica = all.iter().position(|h| takeover.replicas.contains(&h.name));
+            // Parts of one estate go to different heirs.
+            let at = match (takeover.of, replica) {
+                (1, Some(replica)) => replica,
+                _ => takeover.part as usize % all.len().max(1),
+            };
+            let Some(successor) = all.get(at).cloned() else { continue };
+            self.propose(
+                format!("next {epoch}"),
+                Command::AssignSuccessor { grantor_term, epoch, successor },
+            );
+        }
+    }
+}
--- a/crates/continuity/src/lib.rs
+++ b/crates/continuity/src/lib.rs
@@ -14,26 +14,28 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod adopt;
-mod claims;
-mod estates;
-mod hand;
-mod keeper;
-mod lead;
+mod command;
+mod coordinator;
+mod grantor;
+mod limits;
 mod member;
-mod owner;
+mod message;
+mod own_sessions;
+mod ownership;
 mod record;
-mod seam;
+mod registry;
+mod replica;
 mod settings;
-mod word;
+mod takeover;
 
-pub use estates::{Command, Estates, Heir, Refusal, Reply, Takeover};
+pub use command::{Command, DirectorId, Refusal, Reply};
 #[cfg(feature = "planted")]
-pub use hand::Plant;
-pub use hand::{Deed, Hand, Me, News};
-pub use keeper::{Kept, Table};
+pub use coordinator::PlantedFault;
+pub use coordinator::{Action, Coordinator, LocalDirector, LogEvent};
+pub use limits::SharedCoordinator;
 pub use member::Member;
-pub use record::{Id, Record, Stage, Stub, part};
-pub use seam::SharedHand;
+pub use message::{EndKind, Message, RegisteredSession, UnreadableMessage};
+pub use ownership::{OwnershipState, Takeover};
+pub use record::{Id, Record, RequestSummary, Stage, part};
+pub use replica::{Replica, ReplicaStore};
 pub use settings::{ContinuitySettings, SettingError};
-pub use word::{Marked, StrayKind, Unreadable, Word};
--- a/crates/continuity/src/member.rs
+++ b/crates/continuity/src/member.rs
@@ -1,5 +1,5 @@
 //! Who is in the fleet, as far as estates go, and whom a key falls to.
-use crate::record::suits;
+use crate::record::rendezvous_weight;
 
 /// A director, as this one sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -11,18 +11,18 @@
     /// The life of its process.
     pub incarnation: u64,
     /// It is in the fleet and serves.
-    pub serves: bool,
+    pub serving: bool,
     /// It is in the fleet.
-    pub is_in: bool,
+    pub in_fleet: bool,
 }
 
 /// The two keepers of a director: the best by rendezvous hashing, and the best of another hall than the
 /// director's where there is one, so that a hall that is lost takes no estate along.
-pub fn keepers(members: &[Member], me: &str, hall: &str, but: &[String]) -> Vec<String> {
-    let key = crate::record::hashed(me);
+pub fn select_replicas(members: &[Member], me: &str, hall: &str, but: &[String]) -> Vec<String> {
+    let key = crate::record::hash_fnv1a(me);
     let mut able: Vec<&Member> =
-        members.iter().filter(|m| m.serves && m.name != me && !but.contains(&m.name)).collect();
-    able.sort_by_key(|m| std::cmp::Reverse(suits(key, &m.name)));
+        members.iter().filter(|m| m.serving && m.name != me && !but.contains(&m.name)).collect();
+    able.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
     let away = able.iter().find(|m| m.hall != hall).or(able.first()).map(|m| m.name.clone());
     let other = able.iter().map(|m| &m.name).find(|name| Some(*name) != away.as_ref()).cloned();
     away.into_iter().chain(other).collect()
@@ -30,13 +30,13 @@
 
 /// The two registers of a viewer and title.
 pub fn registers(members: &[Member], key: u64) -> Vec<String> {
-    let mut able: Vec<&Member> = members.iter().filter(|m| m.serves).collect();
-    able.sort_by_key(|m| std::cmp::Reverse(suits(key, &m.name)));
+    let mut able: Vec<&Member> = members.iter().filter(|m| m.serving).collect();
+    able.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
     able.into_iter().take(2).map(|m| m.name.clone()).collect()
 }
 
 /// The same with the lives of their processes: one that was restarted knows nothing of before.
-pub fn register_lives(members: &[Member], key: u64) -> Vec<(String, u64)> {
+pub fn register_incarnations(members: &[Member], key: u64) -> Vec<(String, u64)> {
     let life = |name: &String| members.iter().find(|m| m.name == *name).map_or(0, |m| m.incarnation);
     registers(members, key).into_iter().map(|name| (life(&name), name)).map(|(l, n)| (n, l)).collect()
 }
@@ -50,8 +50,8 @@
             name: format!("d{i}"),
             hall: ["a", "b"][i % 2].into(),
             incarnation: 1,
-            serves: true,
-            is_in: true,
+            serving: true,
+            in_fleet: true,
         };
         (0..n).map(of).collect()
     }
@@ -61,17 +61,17 @@
         let all = fleet(60);
         let mut moved = 0;
         for m in &all {
-            let of = keepers(&all, &m.name, &m.hall, &[]);
+            let of = select_replicas(&all, &m.name, &m.hall, &[]);
             assert!(of.len() == 2 && !of.contains(&m.name) && of[0] != of[1]);
             let hall = |name: &String| all.iter().find(|m| m.name == *name).map(|m| m.hall.clone());
             assert_ne!(hall(&of[0]), Some(m.hall.clone()));
             let fewer: Vec<Member> = all.iter().filter(|m| m.name != "d7").cloned().collect();
-            let after = keepers(&fewer, &m.name, &m.hall, &[]);
+            let after = select_replicas(&fewer, &m.name, &m.hall, &[]);
             moved += usize::from(after != of && !of.contains(&"d7".to_owned()));
-            assert!(!keepers(&all, &m.name, &m.hall, &of).iter().any(|k| of.contains(k)));
+            assert!(!select_replicas(&all, &m.name, &m.hall, &of).iter().any(|k| of.contains(k)));
         }
         assert_eq!(moved, 0, "one that goes moves only what it kept");
-        assert_eq!(keepers(&fleet(1), "d0", "a", &[]), Vec::<String>::new());
+        assert_eq!(select_replicas(&fleet(1), "d0", "a", &[]), Vec::<String>::new());
         assert_eq!(registers(&all, 5).len(), 2);
     }
 }
--- a/crates/continuity/src/word.rs
+++ b/crates/continuity/src/message.rs
@@ -4,22 +4,23 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest word, bytes.
-const WORD_MOST: usize = 128 * 1024;
+const MAX_MESSAGE_BYTES: usize = 128 * 1024;
 /// Records in one word at most.
-pub(crate) const RECORDS_MOST: usize = 200;
+pub(crate) const MAX_RECORDS: usize = 200;
 /// Names and texts, bytes.
-const TEXT_MOST: usize = 256;
+const MAX_TEXT_BYTES: usize = 256;
 
 /// Why a word was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a word on estates can't be read; do all directors run a version of the program that knows it?")]
-pub struct Unreadable;
+pub struct UnreadableMessage;
 
 /// A word from one director to another.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Word {
+pub enum Message {
     /// To the giver: a question for a lease on the sender's estate of this life; it holds so many sessions.
-    Ask {
+    #[serde(rename = "Ask")]
+    LeaseRequest {
         /// The life.
         life: u64,
         /// The question.
@@ -28,14 +29,16 @@
         sessions: u32,
     },
     /// The lease to that question.
-    Grant {
+    #[serde(rename = "Grant")]
+    LeaseGrant {
         /// The life.
         life: u64,
         /// The question.
         number: u64,
     },
     /// To a keeper: the next changes of the sender's estate.
-    Keep {
+    #[serde(rename = "Keep")]
+    Replicate {
         /// The life.
         life: u64,
         /// Numbers the owner's beginnings: a later one replaces what is kept.
@@ -43,12 +46,14 @@
         /// Numbers the batches of a run, from 1.
         seq: u64,
         /// With this batch the keeper has all.
-        whole: bool,
+        #[serde(rename = "whole")]
+        complete: bool,
         /// Records that are new or other, and sessions that are over.
         changes: Vec<(Id, Option<Record>)>,
     },
     /// From a keeper: it has all batches so far.
-    Have {
+    #[serde(rename = "Have")]
+    ReplicaAck {
         /// The life.
         life: u64,
         /// The run.
@@ -57,14 +62,16 @@
         seq: u64,
     },
     /// From a keeper: it lacks what went before; begin anew.
-    Lacks {
+    #[serde(rename = "Lacks")]
+    ReplicaGap {
         /// The life.
         life: u64,
         /// The run.
         run: u64,
     },
     /// From an heir to a keeper: what is kept of an estate, from a session on.
-    Fetch {
+    #[serde(rename = "Fetch")]
+    FetchReplica {
         /// Whose.
         owner: String,
         /// Which life.
@@ -77,7 +84,8 @@
         behind: Option<Id>,
     },
     /// From a keeper: a page of it.
-    Page {
+    #[serde(rename = "Page")]
+    ReplicaPage {
         /// Whose.
         owner: String,
         /// Which life.
@@ -94,14 +102,16 @@
         more: bool,
     },
     /// Something on a session that the sender does not hold, for whoever inherited it.
-    Stray {
+    #[serde(rename = "Stray")]
+    MisroutedEnd {
         /// Which.
         id: Id,
         /// What.
-        what: StrayKind,
+        what: EndKind,
     },
     /// To a register: the sender sets up, or holds, a paid session of this viewer and title.
-    Mark {
+    #[serde(rename = "Mark")]
+    RegisterSession {
         /// Viewer and title.
         key: u64,
         /// Which session.
@@ -112,7 +122,8 @@
         streamer: String,
     },
     /// To a register: that session is over, and proven to be.
-    Unmark {
+    #[serde(rename = "Unmark")]
+    UnregisterSession {
         /// Viewer and title.
         key: u64,
         /// Which session.
@@ -126,30 +137,34 @@
         number: u64,
     },
     /// To a register: the sender needs the place of that question, and of those before it, no more.
-    Leave {
+    #[serde(rename = "Leave")]
+    WithdrawClaim {
         /// Viewer and title.
         key: u64,
         /// The question.
         number: u64,
     },
     /// From a register: what it knows.
-    Claimed {
+    #[serde(rename = "Claimed")]
+    ClaimReply {
         /// Viewer and title.
         key: u64,
         /// A session that may run.
-        held: Option<Marked>,
+        held: Option<RegisteredSession>,
         /// It has been a register of this viewer for long enough to know.
         sure: bool,
     },
     /// To a holder: end this session, its viewer came again.
-    Yield {
+    #[serde(rename = "Yield")]
+    EndSession {
         /// Viewer and title.
         key: u64,
         /// The session.
-        held: Marked,
+        held: RegisteredSession,
     },
     /// From a holder: that session is over, and proven to be.
-    Ended {
+    #[serde(rename = "Ended")]
+    SessionEnded {
         /// Viewer and title.
         key: u64,
         /// Which session.
@@ -159,7 +174,7 @@
 
 /// A paid session, as a register knows of it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Marked {
+pub struct RegisteredSession {
     /// Which.
     pub id: Id,
     /// Who marked it.
@@ -172,7 +187,7 @@
 
 /// What came on a session at a director that does not hold it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum StrayKind {
+pub enum EndKind {
     /// Its streamer released it: it came to its end.
     Ended,
     /// Its streamer cut it.
@@ -181,40 +196,41 @@
     Left,
 }
 
-impl Word {
+impl Message {
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// From bytes.
-    pub fn read(bytes: &[u8]) -> Result<Word, Unreadable> {
-        if bytes.len() > WORD_MOST {
-            return Err(Unreadable);
+    pub fn decode(bytes: &[u8]) -> Result<Message, UnreadableMessage> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(UnreadableMessage);
         }
-        let word: Word = postcard::from_bytes(bytes).map_err(|_| Unreadable)?;
-        word.bounded().then_some(word).ok_or(Unreadable)
+        let message: Message = postcard::from_bytes(bytes).map_err(|_| UnreadableMessage)?;
+        message.bounded().then_some(message).ok_or(UnreadableMessage)
     }
 
     fn bounded(&self) -> bool {
-        let text = |s: &String| s.len() <= TEXT_MOST;
+        let text = |s: &String| s.len() <= MAX_TEXT_BYTES;
         let record = |r: &Record| {
-            [&r.stub.class, &r.stub.title, &r.stub.viewer, &r.streamer].into_iter().all(text) && r.rung <= 64
+            [&r.summary.class, &r.summary.title, &r.summary.viewer, &r.streamer].into_iter().all(text)
+                && r.rung <= 64
         };
         match self {
-            Word::Keep { changes, seq, .. } => {
+            Message::Replicate { changes, seq, .. } => {
                 *seq > 0
-                    && changes.len() <= RECORDS_MOST
+                    && changes.len() <= MAX_RECORDS
                     && changes.iter().all(|(_, r)| r.as_ref().is_none_or(record))
             }
-            Word::Fetch { owner, of, .. } => text(owner) && (1..=1_024).contains(of),
-            Word::Page { owner, records, .. } => {
-                text(owner) && records.len() <= RECORDS_MOST && records.iter().all(|(_, r)| record(r))
+            Message::FetchReplica { owner, of, .. } => text(owner) && (1..=1_024).contains(of),
+            Message::ReplicaPage { owner, records, .. } => {
+                text(owner) && records.len() <= MAX_RECORDS && records.iter().all(|(_, r)| record(r))
             }
-            Word::Claimed { held: Some(held), .. } | Word::Yield { held, .. } => {
+            Message::ClaimReply { held: Some(held), .. } | Message::EndSession { held, .. } => {
                 text(&held.owner) && text(&held.streamer)
             }
-            Word::Mark { streamer, .. } => text(streamer),
+            Message::RegisterSession { streamer, .. } => text(streamer),
             _ => true,
         }
     }
@@ -223,25 +239,26 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::{Stage, Stub};
+    use crate::record::{RequestSummary, Stage};
 
     #[test]
     fn what_is_too_large_or_damaged_is_refused() {
         let record = Record {
-            stub: Stub { title: "t".repeat(300), ..Stub::default() },
+            summary: RequestSummary { title: "t".repeat(300), ..RequestSummary::default() },
             streamer: "s".into(),
-            stage: Stage::Out,
+            stage: Stage::InFlight,
             rung: 0,
             epoch: 0,
         };
-        let long = Word::Keep { life: 1, run: 1, seq: 1, whole: true, changes: vec![(1, Some(record))] };
-        assert_eq!(Word::read(&long.write()), Err(Unreadable));
-        let right = Word::Keep { life: 1, run: 1, seq: 1, whole: true, changes: vec![(1, None)] };
-        assert_eq!(Word::read(&right.write()), Ok(right.clone()));
-        let none = Word::Keep { life: 1, run: 1, seq: 0, whole: true, changes: vec![] };
-        assert_eq!(Word::read(&none.write()), Err(Unreadable));
-        assert_eq!(Word::read(&right.write()[..2]), Err(Unreadable));
-        assert_eq!(Word::read(&vec![0; WORD_MOST + 1]), Err(Unreadable));
-        assert!(Unreadable.to_string().contains("version"));
+        let long =
+            Message::Replicate { life: 1, run: 1, seq: 1, complete: true, changes: vec![(1, Some(record))] };
+        assert_eq!(Message::decode(&long.encode()), Err(UnreadableMessage));
+        let right = Message::Replicate { life: 1, run: 1, seq: 1, complete: true, changes: vec![(1, None)] };
+        assert_eq!(Message::decode(&right.encode()), Ok(right.clone()));
+        let none = Message::Replicate { life: 1, run: 1, seq: 0, complete: true, changes: vec![] };
+        assert_eq!(Message::decode(&none.encode()), Err(UnreadableMessage));
+        assert_eq!(Message::decode(&right.encode()[..2]), Err(UnreadableMessage));
+        assert_eq!(Message::decode(&vec![0; MAX_MESSAGE_BYTES + 1]), Err(UnreadableMessage));
+        assert!(UnreadableMessage.to_string().contains("version"));
     }
 }
--- /dev/null
+++ b/crates/continuity/src/ownership.rs
@@ -0,0 +1,328 @@
+//! What is agreed of estates: who gives leases, which lives are closed, who is heir to what under which
+//! epoch. Changed by [`Command`]s in the log's order and by nothing else, so the same at all directors.
+//!
+//! A life is closed once, by the giver of the present reign when its lease has run out for sure, or by itself
+//! when it has stopped acting on its sessions. Each part of its estate goes to one heir under an epoch that
+//! no other takeover has. An heir that dies before its takeover is done is followed by another under a later
+//! epoch, from the same records; what it had begun under the former one is void.
+use crate::command::{Command, DirectorId, Refusal, Reply};
+use crate::record::{Id, part};
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Lives remembered as closed at most; the fleet has fewer names.
+const MAX_NAMES: usize = 2_000;
+/// Takeovers that are done and still known: strays find the heir by them.
+const MAX_COMPLETED_TAKEOVERS: usize = 64;
+/// Epochs remembered as void.
+const MAX_VOID_EPOCHS: usize = 256;
+/// Heirs of one estate at most.
+pub const MAX_SUCCESSORS: usize = 64;
+/// Lives of one name that are not closed at most.
+const MAX_OPEN_LIVES: usize = 8;
+/// Bytes of a name.
+const MAX_NAME_BYTES: usize = 64;
+
+/// A part of an estate on its way to an heir, or there.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
+pub struct Takeover {
+    /// Whose estate.
+    pub owner: String,
+    /// Of which life.
+    pub life: u64,
+    /// Which part, of how many.
+    pub part: u32,
+    /// See `part`.
+    pub of: u32,
+    /// Who keeps it.
+    #[serde(rename = "keepers")]
+    pub replicas: Vec<String>,
+    /// Who takes it; nobody yet.
+    #[serde(rename = "heir")]
+    pub successor: Option<DirectorId>,
+    /// The heir has it.
+    pub done: bool,
+}
+
+/// The agreed state.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
+pub struct OwnershipState {
+    /// The present reign; 0: none yet.
+    #[serde(rename = "reign")]
+    pub grantor_term: u64,
+    /// Who reigns.
+    #[serde(rename = "giver")]
+    pub grantor: Option<DirectorId>,
+    /// The last epoch.
+    pub epoch: u64,
+    /// The latest life of each name that is closed.
+    pub closed: BTreeMap<String, u64>,
+    /// Who keeps the estate of each life that is not closed.
+    #[serde(rename = "keepers")]
+    pub replicas: BTreeMap<(String, u64), Vec<String>>,
+    /// Takeovers by their epochs.
+    pub takeovers: BTreeMap<u64, Takeover>,
+    /// Epochs of heirs that died before they were done: what is kept under them is nobody's.
+    pub void: BTreeSet<u64>,
+    /// The order in which takeovers were done.
+    done: VecDeque<u64>,
+    /// Counts the changes.
+    pub version: u64,
+}
+
+impl OwnershipState {
+    /// Takes a command as bytes; one that can't be read changes nothing.
+    pub fn apply(&mut self, command: &[u8]) -> Reply {
+        match postcard::from_bytes(command) {
+            Ok(command) => self.take(command),
+            Err(_) => Reply::Refused(Refusal::Unreadable),
+        }
+    }
+
+    /// Takes a command.
+    pub fn take(&mut self, command: Command) -> Reply {
+        let taken = match command {
+            Command::BecomeGrantor { name, .. } if name.len() > MAX_NAME_BYTES => Err(Refusal::TooLong),
+            Command::BecomeGrantor { name, life } => {
+                let grantor = Some(DirectorId { name, life });
+                if self.grantor != grantor || self.grantor_term == 0 {
+                    (self.grantor_term, self.grantor) = (self.grantor_term + 1, grantor);
+                }
+                self.version += 1;
+                return Reply::Grantor(self.grantor_term);
+            }
+            Command::SetReplicas { name, life, replicas } => self.set_replicas(name, life, replicas),
+            Command::Close { grantor_term, .. } | Command::AssignSuccessor { grantor_term, .. }
+                if grantor_term != self.grantor_term =>
+            {
+                Err(Refusal::EarlierTerm)
+            }
+            Command::Close { name, life, successors, parts, .. } => self.close(name, life, successors, parts),
+            Command::HandOver { name, life, parts } => self.close(name, life, Vec::new(), parts),
+            Command::AssignSuccessor { epoch, successor, .. } => self.next(epoch, successor),
+            Command::Complete { epoch, successor } => self.done(epoch, &successor),
+        };
+        match taken {
+            Ok(()) => {
+                self.version += 1;
+                Reply::Done
+            }
+            Err(why) => Reply::Refused(why),
+        }
+    }
+
+    /// Whether a life is closed.
+    pub fn is_closed(&self, name: &str, life: u64) -> bool {
+        self.closed.get(name).is_some_and(|closed| *closed >= life)
+    }
+
+    /// Takeovers that wait for an heir.
+    pub fn without_successor(&self) -> impl Iterator<Item = (u64, &Takeover)> {
+        self.takeovers.iter().filter(|(_, t)| t.successor.is_none()).map(|(epoch, t)| (*epoch, t))
+    }
+
+    /// The takeover by which a session of a closed life went on.
+    pub fn takeover_of(&self, owner: &str, life: u64, id: Id) -> Option<&Takeover> {
+        let of = |t: &&Takeover| t.owner == owner && t.life == life && part(id, t.of) == t.part;
+        self.takeovers.values().find(of)
+    }
+
+    fn set_replicas(&mut self, name: String, life: u64, replicas: Vec<String>) -> Result<(), Refusal> {
+        let long = replicas.iter().chain([&name]).any(|n| n.len() > MAX_NAME_BYTES) || replicas.len() > 8;
+        let lives = (name.clone(), 0)..=(name.clone(), u64::MAX);
+        let known = self.replicas.range(lives).count();
+        let key = (name, life);
+        let fresh = !self.replicas.contains_key(&key);
+        if long || fresh && (known >= MAX_OPEN_LIVES || self.replicas.len() >= MAX_NAMES) {
+            return Err(Refusal::TooLong);
+        }
+        if self.is_closed(&key.0, life) {
+            return Err(Refusal::Closed);
+        }
+        self.replicas.insert(key, replicas);
+        Ok(())
+    }
+
+    fn close(
+        &mut self,
+        name: String,
+        life: u64,
+        successors: Vec<DirectorId>,
+        parts: u32,
+    ) -> Result<(), Refusal> {
+        if self.is_closed(&name, life) {
+            return Err(Refusal::Closed);
+        }
+        let full = !self.closed.contains_key(&name) && self.closed.len() >= MAX_NAMES;
+        let long = |h: &DirectorId| h.name.len() > MAX_NAME_BYTES;
+        if name.len() > MAX_NAME_BYTES
+            || full
+            || successors.len() > MAX_SUCCESSORS
+            || successors.iter().any(long)
+        {
+            return Err(Refusal::TooLong);
+        }
+        self.closed.insert(name.clone(), life);
+        // What it was about to take goes to another, from the same records.
+        let left: Vec<u64> = (self.takeovers.iter())
+            .filter(|(_, t)| {
+                !t.done && t.successor.as_ref().is_some_and(|h| h.name == name && h.life <= life)
+            })
+            .map(|(epoch, _)| *epoch)
+            .collect();
+        for epoch in left {
+            if let Some(takeover) = self.takeovers.remove(&epoch) {
+                self.void(epoch);
+                self.begin(Takeover { successor: None, ..takeover });
+            }
+        }
+        // An estate that nobody kept has nothing to take.
+        let lives = (name.clone(), 0)..=(name.clone(), life);
+        let lives: Vec<u64> = self.replicas.range(lives).map(|((_, life), _)| *life).collect();
+        let successors: Vec<DirectorId> =
+            successors.into_iter().filter(|h| !self.is_closed(&h.name, h.life)).collect();
+        let of = (successors.len() as u32).max(parts.min(MAX_SUCCESSORS as u32)).max(1);
+        for life in lives {
+            let replicas = self.replicas.remove(&(name.clone(), life)).unwrap_or_default();
+            for part in 0..of {
+                let successor = successors.get(part as usize).cloned();
+                let (owner, replicas) = (name.clone(), replicas.clone());
+                self.begin(Takeover { owner, life, part, of, replicas, successor, done: false });
+            }
+        }
+        Ok(())
+    }
+
+    fn begin(&mut self, takeover: Takeover) {
+        self.epoch += 1;
+        self.takeovers.insert(self.epoch, takeover);
+    }
+
+    fn void(&mut self, epoch: u64) {
+        self.void.insert(epoch);
+        while self.void.len() > MAX_VOID_EPOCHS {
+            self.void.pop_first();
+        }
+    }
+
+    fn next(&mut self, epoch: u64, successor: DirectorId) -> Result<(), Refusal> {
+        if successor.name.len() > MAX_NAME_BYTES || self.is_closed(&successor.name, successor.life) {
+            return Err(Refusal::Closed);
+        }
+        let open = self.takeovers.get(&epoch).is_some_and(|t| t.successor.is_none());
+        let Some(takeover) = open.then(|| self.takeovers.remove(&epoch)).flatten() else {
+            return Err(Refusal::NoOpenTakeover);
+        };
+        self.void(epoch);
+        self.begin(Takeover { successor: Some(successor), ..takeover });
+        Ok(())
+    }
+
+    fn done(&mut self, epoch: u64, successor: &DirectorId) -> Result<(), Refusal> {
+        let takeover = self.takeovers.get_mut(&epoch).filter(|t| t.successor.as_ref() == Some(successor));
+        let Some(takeover) = takeover else { return Err(Refusal::NoOpenTakeover) };
+        if !std::mem::replace(&mut takeover.done, true) {
+            self.done.push_back(epoch);
+        }
+        while self.done.len() > MAX_COMPLETED_TAKEOVERS {
+            self.done.pop_front().map(|old| self.takeovers.remove(&old));
+        }
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    fn successor(name: &str, life: u64) -> DirectorId {
+        DirectorId { name: name.into(), life }
+    }
+
+    fn with_estate() -> OwnershipState {
+        let mut state = OwnershipState::default();
+        assert_eq!(state.take(Command::BecomeGrantor { name: "d0".into(), life: 1 }), Reply::Grantor(1));
+        let replicas = vec!["d1".into(), "d2".into()];
+        state.take(Command::SetReplicas { name: "d3".into(), life: 5, replicas });
+        state
+    }
+
+    fn close(
+        state: &mut OwnershipState,
+        grantor_term: u64,
+        name: &str,
+        life: u64,
+        successors: Vec<DirectorId>,
+    ) -> Reply {
+        state.take(Command::Close { grantor_term, name: name.into(), life, successors, parts: 1 })
+    }
+
+    #[test]
+    fn a_life_is_closed_once_and_only_by_who_reigns() {
+        let mut state = with_estate();
+        assert_eq!(state.take(Command::BecomeGrantor { name: "d9".into(), life: 1 }), Reply::Grantor(2));
+        let former = Reply::Refused(Refusal::EarlierTerm);
+        assert_eq!(close(&mut state, 1, "d3", 5, vec![successor("d1", 1)]), former);
+        assert_eq!(close(&mut state, 2, "d3", 5, vec![successor("d1", 1)]), Reply::Done);
+        let closed = Reply::Refused(Refusal::Closed);
+        assert_eq!(close(&mut state, 2, "d3", 5, vec![successor("d2", 1)]), closed);
+        let laid = Command::HandOver { name: "d3".into(), life: 5, parts: 1 };
+        assert_eq!(state.take(laid), closed);
+        assert_eq!(state.takeovers.len(), 1);
+        assert_eq!(
+            state.takeover_of("d3", 5, 77).and_then(|t| t.successor.clone()),
+            Some(successor("d1", 1))
+        );
+    }
+
+    #[test]
+    fn an_heir_that_dies_is_followed_under_a_later_epoch_and_what_it_began_is_void() {
+        let mut state = with_estate();
+        close(&mut state, 1, "d3", 5, vec![successor("d1", 1), successor("d2", 1)]);
+        let epochs: Vec<u64> = state.takeovers.keys().copied().collect();
+        assert_eq!(
+            state.take(Command::Complete { epoch: epochs[1], successor: successor("d2", 1) }),
+            Reply::Done
+        );
+        let early =
+            Command::AssignSuccessor { grantor_term: 1, epoch: epochs[0], successor: successor("d4", 1) };
+        assert_eq!(state.take(early), Reply::Refused(Refusal::NoOpenTakeover), "its heir lives");
+        close(&mut state, 1, "d1", 1, vec![]);
+        close(&mut state, 1, "d2", 1, vec![]);
+        assert!(state.void.contains(&epochs[0]) && !state.void.contains(&epochs[1]), "what is done stays");
+        let late = Command::Complete { epoch: epochs[0], successor: successor("d1", 1) };
+        assert_eq!(state.take(late), Reply::Refused(Refusal::NoOpenTakeover));
+        let open: Vec<u64> = state.without_successor().map(|(epoch, _)| epoch).collect();
+        assert_eq!(open.len(), 1);
+        let next =
+            Command::AssignSuccessor { grantor_term: 1, epoch: open[0], successor: successor("d4", 1) };
+        assert_eq!(state.take(next), Reply::Done);
+        let (epoch, takeover) = state.takeovers.iter().find(|(_, t)| !t.done).expect("under way");
+        assert!(*epoch > epochs[1] && takeover.part == 0 && takeover.of == 2);
+        assert_eq!(takeover.successor, Some(successor("d4", 1)));
+    }
+
+    #[test]
+    fn each_life_of_a_name_that_is_closed_together_is_taken_over() {
+        let mut state = with_estate();
+        let replicas = vec!["d4".into()];
+        state.take(Command::SetReplicas { name: "d3".into(), life: 8, replicas });
+        assert_eq!(state.take(Command::HandOver { name: "d3".into(), life: 8, parts: 3 }), Reply::Done);
+        let lives: Vec<u64> = state.takeovers.values().map(|t| t.life).collect();
+        assert_eq!(lives, vec![5, 5, 5, 8, 8, 8]);
+        assert!(state.replicas.is_empty() && state.without_successor().count() == 6);
+    }
+
+    #[test]
+    fn what_is_too_long_or_unreadable_changes_nothing() {
+        let mut state = with_estate();
+        let before = state.clone();
+        assert_eq!(state.apply(b"\xff\xff"), Reply::Refused(Refusal::Unreadable));
+        let successors = vec![successor("d1", 1); MAX_SUCCESSORS + 1];
+        assert_eq!(close(&mut state, 1, "d3", 5, successors), Reply::Refused(Refusal::TooLong));
+        assert_eq!(state, before);
+        for why in [Refusal::EarlierTerm, Refusal::Closed, Refusal::NoOpenTakeover, Refusal::Unreadable] {
+            assert!(!why.to_string().is_empty());
+        }
+    }
+}
--- /dev/null
+++ b/crates/continuity/src/replica.rs
@@ -0,0 +1,174 @@
+//! What a director keeps of others' estates. It keeps and hands out; it never acts on any of it.
+use crate::message::{MAX_RECORDS, Message};
+use crate::record::{Id, Record, part};
+use std::collections::BTreeMap;
+use std::ops::Bound;
+
+/// Estates kept at most.
+const MAX_REPLICAS: usize = 256;
+/// Sessions kept at most, of all estates.
+const MAX_STORED_RECORDS: usize = 100_000;
+
+/// What is kept of one life's estate.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Replica {
+    /// The owner's beginning that it is of.
+    pub run: u64,
+    /// The last batch.
+    pub seq: u64,
+    /// With it, this was all.
+    pub complete: bool,
+    /// The sessions.
+    pub records: BTreeMap<Id, Record>,
+}
+
+/// All that is kept of others.
+#[derive(Clone, Debug, Default)]
+pub struct ReplicaStore {
+    replicas: BTreeMap<(String, u64), Replica>,
+    records: usize,
+}
+
+impl ReplicaStore {
+    /// Nothing yet.
+    pub fn new() -> ReplicaStore {
+        ReplicaStore::default()
+    }
+
+    /// Takes a batch of an owner; the answer is owed to it. Without room there is none, and the owner finds
+    /// another keeper.
+    pub fn apply_batch(
+        &mut self,
+        owner: &str,
+        life: u64,
+        (run, seq): (u64, u64),
+        complete: bool,
+        changes: Vec<(Id, Option<Record>)>,
+    ) -> Option<Message> {
+        let key = (owner.to_owned(), life);
+        let before = self.replicas.get(&key).map(|t| (t.run, t.seq));
+        match before {
+            Some((known, last)) if run < known || (run == known && seq <= last) => {
+                return Some(Message::ReplicaAck { life, run: known, seq: last });
+            }
+            Some((known, last)) if (run, seq) == (known, last + 1) => {}
+            // This life begins anew; what is kept of a former one waits for its heir.
+            _ if seq == 1 => self.remove_replica(&key),
+            _ => return Some(Message::ReplicaGap { life, run }),
+        }
+        let fresh = !self.replicas.contains_key(&key);
+        if fresh && self.replicas.len() >= MAX_REPLICAS || self.records + changes.len() > MAX_STORED_RECORDS {
+            return None;
+        }
+        let replica = self.replicas.entry(key).or_default();
+        let count_before = replica.records.len();
+        for (id, record) in changes {
+            match record {
+                Some(record) => drop(replica.records.insert(id, record)),
+                None => drop(replica.records.remove(&id)),
+            }
+        }
+        (replica.run, replica.seq, replica.complete) = (run, seq, complete);
+        self.records = self.records + replica.records.len() - count_before;
+        Some(Message::ReplicaAck { life, run, seq })
+    }
+
+    /// What is kept of an estate.
+    pub fn replica(&self, owner: &str, life: u64) -> Option<&Replica> {
+        self.replicas.get(&(owner.to_owned(), life))
+    }
+
+    /// Answers an heir's question.
+    pub fn page(&self, owner: &str, life: u64, wanted_part: u32, of: u32, behind: Option<Id>) -> Message {
+        let replica = self.replica(owner, life);
+        let from = behind.map_or(Bound::Unbounded, Bound::Excluded);
+        let mut records: Vec<(Id, Record)> = (replica.iter())
+            .flat_map(|t| t.records.range((from, Bound::Unbounded)))
+            .filter(|(id, _)| part(**id, of) == wanted_part)
+            .take(MAX_RECORDS + 1)
+            .map(|(id, record)| (*id, record.clone()))
+            .collect();
+        let more = records.len() > MAX_RECORDS;
+        records.truncate(MAX_RECORDS);
+        let kept = replica.map(|t| (t.seq, t.complete));
+        Message::ReplicaPage { owner: owner.to_owned(), life, part: wanted_part, behind, kept, records, more }
+    }
+
+    fn remove_replica(&mut self, key: &(String, u64)) {
+        self.records -= self.replicas.remove(key).map_or(0, |t| t.records.len());
+    }
+
+    /// Nothing more is wanted of a life and those before it.
+    pub fn forget(&mut self, owner: &str, life: u64) {
+        let lives = (owner.to_owned(), 0)..=(owner.to_owned(), life);
+        let old: Vec<_> = self.replicas.range(lives).map(|(key, _)| key.clone()).collect();
+        old.iter().for_each(|key| self.remove_replica(key));
+    }
+
+    /// Estates and sessions that are kept.
+    pub fn size(&self) -> (usize, usize) {
+        (self.replicas.len(), self.records)
+    }
+
+    /// Whose lives are kept.
+    pub fn lives(&self) -> impl Iterator<Item = (&str, u64)> {
+        self.replicas.keys().map(|(owner, life)| (owner.as_str(), *life))
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use crate::record::{RequestSummary, Stage};
+
+    #[test]
+    fn pages_are_bounded_split_by_part_and_leave_nobody_out() {
+        let mut store = ReplicaStore::new();
+        let record = Record {
+            summary: RequestSummary::default(),
+            streamer: "s".into(),
+            stage: Stage::Established,
+            rung: 0,
+            epoch: 0,
+        };
+        for batch in 0..8_u64 {
+            let changes = (0..150).map(|n| (batch * 150 + n, Some(record.clone()))).collect();
+            assert!(matches!(
+                store.apply_batch("d", 7, (1, batch + 1), true, changes),
+                Some(Message::ReplicaAck { .. })
+            ));
+        }
+        assert_eq!(store.size(), (1, 1_200));
+        let mut seen = Vec::new();
+        for wanted_part in 0..3 {
+            let (mut behind, mut pages) = (None, 0);
+            loop {
+                let Message::ReplicaPage { records, more, kept, .. } =
+                    store.page("d", 7, wanted_part, 3, behind)
+                else {
+                    panic!("a page")
+                };
+                assert_eq!(kept, Some((8, true)));
+                assert!(records.len() <= MAX_RECORDS);
+                behind = records.last().map(|(id, _)| *id);
+                seen.extend(records.into_iter().map(|(id, _)| id));
+                pages += 1;
+                if !more {
+                    break;
+                }
+            }
+            assert!(pages > 1, "one page holds part {wanted_part}");
+        }
+        seen.sort_unstable();
+        assert_eq!(seen, (0..1_200).collect::<Vec<_>>());
+        assert!(matches!(store.page("d", 8, 0, 1, None), Message::ReplicaPage { kept: None, .. }));
+        assert!(
+            matches!(store.apply_batch("d", 7, (1, 10), true, vec![]), Some(Message::ReplicaGap { .. })),
+            "one is missing"
+        );
+        assert!(matches!(store.apply_batch("d", 8, (1, 1), true, vec![]), Some(Message::ReplicaAck { .. })));
+        assert_eq!(store.size(), (2, 1_200), "a later life leaves the former one's to its heir");
+        store.forget("d", 7);
+        assert_eq!(store.size(), (1, 0));
+    }
+}
--- a/crates/continuity/src/settings.rs
+++ b/crates/continuity/src/settings.rs
@@ -1,7 +1,7 @@
 //! The block `continuity` of the operator file.
 use serde::{Deserialize, Serialize};
 use stonewharf_core::Micros;
-use stonewharf_leases::{Span, SpanError};
+use stonewharf_leases::{LeaseDuration, LeaseDurationError};
 
 /// The block `continuity`. Without it sessions end with their director, as before.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
@@ -14,15 +14,19 @@
     /// By how much clocks here may run wrong, percent. 0 to 20.
     pub drift_percent: f64,
     /// Sessions that one heir takes of an estate before it is split further. 1 to 100,000.
-    pub heir_most: usize,
+    #[serde(rename = "heir_most")]
+    pub sessions_per_successor: usize,
     /// Sessions that this director holds at most, with those that it inherits. 1 to 1,000,000.
-    pub sessions_most: usize,
+    #[serde(rename = "sessions_most")]
+    pub max_sessions: usize,
     /// How long viewers who come again for paid titles are turned away where all who could know whether a
     /// session of theirs runs were lost at about one time, milliseconds. 0 to 3,600,000.
-    pub unknown_ms: u64,
+    #[serde(rename = "unknown_ms")]
+    pub unknown_hold_off_ms: u64,
     /// Over how long sessions that an heir has no room for are released, so that their viewers do not come
     /// again all at once, milliseconds. 0 to 60,000.
-    pub spread_ms: u64,
+    #[serde(rename = "spread_ms")]
+    pub release_spread_ms: u64,
 }
 
 impl Default for ContinuitySettings {
@@ -31,10 +35,10 @@
             enabled: true,
             lease_ms: 1_500,
             drift_percent: 1.0,
-            heir_most: 1_000,
-            sessions_most: 20_000,
-            unknown_ms: 60_000,
-            spread_ms: 4_000,
+            sessions_per_successor: 1_000,
+            max_sessions: 20_000,
+            unknown_hold_off_ms: 60_000,
+            release_spread_ms: 4_000,
         }
     }
 }
@@ -53,15 +57,15 @@
     /// Whether all values can be used.
     pub fn check(&self) -> Result<(), SettingError> {
         let wrong = |key, what: String| Err(SettingError { key, what });
-        if let Err(why) = Span::new(self.lease_ms, self.drift_percent) {
-            let key = if matches!(why, SpanError::Length(_)) { "lease_ms" } else { "drift_percent" };
+        if let Err(why) = LeaseDuration::new(self.lease_ms, self.drift_percent) {
+            let key = if matches!(why, LeaseDurationError::Length(_)) { "lease_ms" } else { "drift_percent" };
             return wrong(key, why.to_string());
         }
         let figures = [
-            ("heir_most", self.heir_most as u64, 1, 100_000),
-            ("sessions_most", self.sessions_most as u64, 1, 1_000_000),
-            ("unknown_ms", self.unknown_ms, 0, 3_600_000),
-            ("spread_ms", self.spread_ms, 0, 60_000),
+            ("heir_most", self.sessions_per_successor as u64, 1, 100_000),
+            ("sessions_most", self.max_sessions as u64, 1, 1_000_000),
+            ("unknown_ms", self.unknown_hold_off_ms, 0, 3_600_000),
+            ("spread_ms", self.release_spread_ms, 0, 60_000),
         ];
         match figures.iter().find(|(_, x, least, most)| !(least..=most).contains(&x)) {
             Some((key, x, least, most)) => wrong(key, format!("is {x}; {least} to {most} is allowed")),
@@ -70,14 +74,14 @@
     }
 
     /// The lease on both sides; the shortest where the settings were not checked.
-    pub fn span(&self) -> Span {
-        let usual = Span { holder: 297_000, giver: 303_000 };
-        Span::new(self.lease_ms, self.drift_percent).unwrap_or(usual)
+    pub fn lease_duration(&self) -> LeaseDuration {
+        let usual = LeaseDuration { holder: 297_000, grantor: 303_000 };
+        LeaseDuration::new(self.lease_ms, self.drift_percent).unwrap_or(usual)
     }
 
     /// See `spread_ms`.
-    pub fn spread_us(&self) -> Micros {
-        self.spread_ms.saturating_mul(1_000)
+    pub fn release_spread_us(&self) -> Micros {
+        self.release_spread_ms.saturating_mul(1_000)
     }
 }
 
@@ -91,7 +95,7 @@
         let set = ContinuitySettings { lease_ms: 5, ..Default::default() };
         let why = set.check().expect_err("too short").to_string();
         assert!(why.starts_with("lease_ms is 5 ms; 300 to 60000"), "{why}");
-        let set = ContinuitySettings { heir_most: 0, ..Default::default() };
+        let set = ContinuitySettings { sessions_per_successor: 0, ..Default::default() };
         let why = set.check().expect_err("none").to_string();
         assert!(why.starts_with("heir_most is 0; 1 to 100000"), "{why}");
     }
--- a/crates/continuity/src/adopt.rs
+++ b/crates/continuity/src/takeover.rs
@@ -1,20 +1,20 @@
 //! One takeover at its heir: what the keepers have is fetched, handed to the heir's own keepers, and only
 //! then reported as done. Until that is agreed the heir does nothing with any of it, so that one that dies in
 //! the middle leaves everything to the next.
-use crate::estates::Takeover;
+use crate::message::Message;
+use crate::ownership::Takeover;
 use crate::record::{Id, Record};
-use crate::word::Word;
 use std::collections::{BTreeMap, BTreeSet};
 use stonewharf_core::Micros;
 
 /// A question to a keeper is put again after so long.
-const AGAIN_US: Micros = 200_000;
+const RESEND_AFTER_US: Micros = 200_000;
 /// Keepers that have not answered by then are passed over, where another has.
-const PATIENCE_US: Micros = 600_000;
+const REPLICA_TIMEOUT_US: Micros = 600_000;
 /// The same where none has: then nothing is known of the estate.
-const NOBODY_US: Micros = 2_500_000;
+const NO_REPLICA_TIMEOUT_US: Micros = 2_500_000;
 /// The heir's own keepers have so long to confirm before it goes on without them.
-const KEEP_US: Micros = 2_000_000;
+const ACK_TIMEOUT_US: Micros = 2_000_000;
 
 /// How far it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Tell keepers.
-    Ask(Vec<(String, Word)>),
+    Ask(Vec<(String, Message)>),
     /// These are to be kept as the heir's own; `None` where nothing was kept of the estate.
     Keep(Vec<(Id, Record)>, Option<bool>),
     /// Report it as done.
@@ -53,7 +53,7 @@
 
 /// One takeover at its heir.
 #[derive(Clone, Debug)]
-pub struct Adoption {
+pub struct TakeoverTask {
     /// What is taken over.
     pub takeover: Takeover,
     step: Step,
@@ -63,16 +63,16 @@
     ids: BTreeSet<Id>,
 }
 
-impl Adoption {
+impl TakeoverTask {
     /// It begins. A keeper that is the heir itself answers like any other.
-    pub fn new(now: Micros, takeover: Takeover) -> Adoption {
-        let from = takeover.keepers.iter().map(|name| (name.clone(), From::default())).collect();
-        Adoption { takeover, step: Step::Fetching, since: now, from, ids: BTreeSet::new() }
+    pub fn new(now: Micros, takeover: Takeover) -> TakeoverTask {
+        let from = takeover.replicas.iter().map(|name| (name.clone(), From::default())).collect();
+        TakeoverTask { takeover, step: Step::Fetching, since: now, from, ids: BTreeSet::new() }
     }
 
     /// Takes a page of a keeper.
-    pub fn page(&mut self, now: Micros, keeper: &str, page: Page) {
-        let Some(from) = self.from.get_mut(keeper).filter(|f| !f.over && f.behind == page.behind) else {
+    pub fn page(&mut self, now: Micros, replica: &str, page: Page) {
+        let Some(from) = self.from.get_mut(replica).filter(|f| !f.over && f.behind == page.behind) else {
             return;
         };
         // Pages are of one state of the table: an owner that still lives may go on changing it.
@@ -98,11 +98,11 @@
     ) -> Next {
         match self.step {
             Step::Fetching => self.fetch(now, alive),
-            Step::Keeping if kept(&self.ids) || self.since.saturating_add(KEEP_US) <= now => {
+            Step::Keeping if kept(&self.ids) || self.since.saturating_add(ACK_TIMEOUT_US) <= now => {
                 (self.step, self.since) = (Step::Reported, now);
                 Next::Report
             }
-            Step::Reported if self.since.saturating_add(KEEP_US) <= now => {
+            Step::Reported if self.since.saturating_add(ACK_TIMEOUT_US) <= now => {
                 self.since = now; // the report may be lost with its leader
                 Next::Report
             }
@@ -115,30 +115,32 @@
         let there = |name: &String, f: &From| alive(name) && !(f.answered && f.kept.is_none());
         let open = self.from.iter().filter(|(name, f)| !f.over && there(name, f)).count();
         let have = self.from.values().any(|f| f.over && f.kept.is_some());
-        let patience = if have { PATIENCE_US } else { NOBODY_US };
+        let patience = if have { REPLICA_TIMEOUT_US } else { NO_REPLICA_TIMEOUT_US };
         if open == 0 || waited >= patience {
             let of_all = self.from.values().filter(|f| f.over && f.kept.is_some());
-            let best = of_all.max_by_key(|f| f.kept.map(|(seq, whole)| (whole, seq)));
-            let whole = best.and_then(|f| f.kept).map(|(_, whole)| whole);
+            let best = of_all.max_by_key(|f| f.kept.map(|(seq, complete)| (complete, seq)));
+            let complete = best.and_then(|f| f.kept).map(|(_, complete)| complete);
             let records = best.map(|f| f.records.clone()).unwrap_or_default();
             self.ids = records.keys().copied().collect();
             (self.step, self.since) = (Step::Keeping, now);
             self.from.clear();
-            return Next::Keep(records.into_iter().collect(), whole);
+            return Next::Keep(records.into_iter().collect(), complete);
         }
         let takeover = &self.takeover;
-        let mut words = Vec::new();
+        let mut messages = Vec::new();
         for (name, from) in &mut self.from {
-            if from.over || !alive(name) || from.asked_at.saturating_add(AGAIN_US) > now && from.asked_at > 0
+            if from.over
+                || !alive(name)
+                || from.asked_at.saturating_add(RESEND_AFTER_US) > now && from.asked_at > 0
             {
                 continue;
             }
             from.asked_at = now;
             let (owner, life) = (takeover.owner.clone(), takeover.life);
             let (part, of, behind) = (takeover.part, takeover.of, from.behind);
-            words.push((name.clone(), Word::Fetch { owner, life, part, of, behind }));
+            messages.push((name.clone(), Message::FetchReplica { owner, life, part, of, behind }));
         }
-        if words.is_empty() { Next::Wait } else { Next::Ask(words) }
+        if messages.is_empty() { Next::Wait } else { Next::Ask(messages) }
     }
 }
 
@@ -158,61 +160,66 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::estates::Heir;
-    use crate::record::{Stage, Stub};
+    use crate::command::DirectorId;
+    use crate::record::{RequestSummary, Stage};
 
-    fn takeover(keepers: &[&str]) -> Takeover {
+    fn takeover(replicas: &[&str]) -> Takeover {
         Takeover {
             owner: "d".into(),
             life: 5,
             part: 0,
             of: 1,
-            keepers: keepers.iter().map(|k| (*k).to_owned()).collect(),
-            heir: Some(Heir { name: "h".into(), life: 1 }),
+            replicas: replicas.iter().map(|k| (*k).to_owned()).collect(),
+            successor: Some(DirectorId { name: "h".into(), life: 1 }),
             done: false,
         }
     }
 
     fn page(kept: Option<(u64, bool)>, behind: Option<Id>, ids: &[Id], more: bool) -> Page {
-        let record =
-            Record { stub: Stub::default(), streamer: "s".into(), stage: Stage::Out, rung: 0, epoch: 0 };
+        let record = Record {
+            summary: RequestSummary::default(),
+            streamer: "s".into(),
+            stage: Stage::InFlight,
+            rung: 0,
+            epoch: 0,
+        };
         Page { behind, kept, records: ids.iter().map(|id| (*id, record.clone())).collect(), more }
     }
 
-    fn kept_of(next: Next) -> (Vec<Id>, Option<bool>) {
-        let Next::Keep(records, whole) = next else { panic!("{next:?}") };
-        (records.into_iter().map(|(id, _)| id).collect(), whole)
+    fn replicated(next: Next) -> (Vec<Id>, Option<bool>) {
+        let Next::Keep(records, complete) = next else { panic!("{next:?}") };
+        (records.into_iter().map(|(id, _)| id).collect(), complete)
     }
 
     #[test]
     fn the_later_of_two_keepers_counts_and_pages_are_fetched_one_after_the_other() {
-        let mut adoption = Adoption::new(0, takeover(&["k", "l"]));
-        assert!(matches!(adoption.look(0, |_| true, |_| true), Next::Ask(words) if words.len() == 2));
-        adoption.page(10, "k", page(Some((3, true)), None, &[1, 2], true));
-        adoption.page(10, "l", page(Some((4, true)), None, &[1], false));
-        assert!(matches!(adoption.look(20, |_| true, |_| true), Next::Ask(words) if words.len() == 1));
+        let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
+        assert!(matches!(task.look(0, |_| true, |_| true), Next::Ask(messages) if messages.len() == 2));
+        task.page(10, "k", page(Some((3, true)), None, &[1, 2], true));
+        task.page(10, "l", page(Some((4, true)), None, &[1], false));
+        assert!(matches!(task.look(20, |_| true, |_| true), Next::Ask(messages) if messages.len() == 1));
         // A repeated page of the first question.
-        adoption.page(30, "k", page(Some((3, true)), None, &[9], false));
-        adoption.page(30, "k", page(Some((3, true)), Some(2), &[3], false));
-        assert_eq!(kept_of(adoption.look(40, |_| true, |_| true)), (vec![1], Some(true)));
-        assert_eq!(adoption.look(50, |_| true, |_| false), Next::Wait);
-        assert_eq!(adoption.look(60, |_| true, |_| true), Next::Report);
-        assert_eq!(adoption.look(70, |_| true, |_| true), Next::Wait);
-        assert_eq!(adoption.look(70 + KEEP_US, |_| true, |_| true), Next::Report, "again");
+        task.page(30, "k", page(Some((3, true)), None, &[9], false));
+        task.page(30, "k", page(Some((3, true)), Some(2), &[3], false));
+        assert_eq!(replicated(task.look(40, |_| true, |_| true)), (vec![1], Some(true)));
+        assert_eq!(task.look(50, |_| true, |_| false), Next::Wait);
+        assert_eq!(task.look(60, |_| true, |_| true), Next::Report);
+        assert_eq!(task.look(70, |_| true, |_| true), Next::Wait);
+        assert_eq!(task.look(70 + ACK_TIMEOUT_US, |_| true, |_| true), Next::Report, "again");
     }
 
     #[test]
     fn a_silent_keeper_is_passed_over_and_with_none_left_nothing_is_known() {
-        let mut adoption = Adoption::new(0, takeover(&["k", "l"]));
-        let _ = adoption.look(0, |_| true, |_| true);
-        adoption.page(10, "l", page(Some((4, false)), None, &[1], false));
-        assert!(matches!(adoption.look(AGAIN_US, |_| true, |_| true), Next::Ask(_)));
-        assert_eq!(kept_of(adoption.look(PATIENCE_US, |_| true, |_| true)), (vec![1], Some(false)));
-        let mut adoption = Adoption::new(0, takeover(&["k", "l"]));
-        assert_eq!(kept_of(adoption.look(0, |_| false, |_| true)), (vec![], None));
-        let mut adoption = Adoption::new(0, takeover(&["k"]));
-        let _ = adoption.look(0, |_| true, |_| true);
-        adoption.page(10, "k", page(None, None, &[], false));
-        assert_eq!(kept_of(adoption.look(20, |_| true, |_| true)), (vec![], None), "it keeps nothing of it");
+        let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
+        let _ = task.look(0, |_| true, |_| true);
+        task.page(10, "l", page(Some((4, false)), None, &[1], false));
+        assert!(matches!(task.look(RESEND_AFTER_US, |_| true, |_| true), Next::Ask(_)));
+        assert_eq!(replicated(task.look(REPLICA_TIMEOUT_US, |_| true, |_| true)), (vec![1], Some(false)));
+        let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
+        assert_eq!(replicated(task.look(0, |_| false, |_| true)), (vec![], None));
+        let mut task = TakeoverTask::new(0, takeover(&["k"]));
+        let _ = task.look(0, |_| true, |_| true);
+        task.page(10, "k", page(None, None, &[], false));
+        assert_eq!(replicated(task.look(20, |_| true, |_| true)), (vec![], None), "it keeps nothing of it");
     }
 }
--- a/crates/continuity/tests/sim.rs
+++ b/crates/continuity/tests/sim.rs
@@ -29,7 +29,7 @@
     let mut claims = 0;
     for seed in seeds() {
         let mut sim = Sim::new(seed);
-        sim.cuts = false;
+        sim.scheduled_releases = false;
         sim.run(150);
         assert!(sim.offences.is_empty(), "seed {seed}: {:#?}", sim.offences);
         claims += sim.claims;
@@ -45,24 +45,24 @@
     sim.run(30);
     assert!(sim.offences.is_empty() && sim.adopted == 0, "{:?}", sim.offences);
     for d in &sim.directors {
-        let hand = d.hand.0.borrow();
-        assert!(hand.leased_until() > sim.now, "leased");
-        assert!(d.sessions.iter().all(|id| hand.may_act(sim.now, *id)));
+        let coordinator = d.coordinator.0.borrow();
+        assert!(coordinator.leased_until() > sim.now, "leased");
+        assert!(d.sessions.iter().all(|id| coordinator.may_act(sim.now, *id)));
     }
 }
 
 #[cfg(feature = "planted")]
 mod planted {
     use super::*;
-    use stonewharf_continuity::Plant;
+    use stonewharf_continuity::PlantedFault;
 
-    fn found(plant: Plant) -> bool {
+    fn found(planted_fault: PlantedFault) -> bool {
         (1..20).any(|seed| {
             let mut sim = Sim::new(seed);
-            sim.cuts = plant != Plant::PaidAgain;
+            sim.scheduled_releases = planted_fault != PlantedFault::ServeReturnAtOnce;
             for round in 0..150 {
                 for d in &sim.directors {
-                    d.hand.0.borrow_mut().plant = Some(plant);
+                    d.coordinator.0.borrow_mut().planted_fault = Some(planted_fault);
                 }
                 let _ = round;
                 sim.run(1);
@@ -73,8 +73,13 @@
 
     #[test]
     fn each_planted_error_is_found() {
-        for plant in [Plant::NoWait, Plant::PaidAgain, Plant::LookOnce, Plant::Early] {
-            assert!(found(plant), "{plant:?} was not found");
+        for planted_fault in [
+            PlantedFault::CloseBeforeExpiry,
+            PlantedFault::ServeReturnAtOnce,
+            PlantedFault::IgnoreLeaseExpiry,
+            PlantedFault::ActBeforeAgreed,
+        ] {
+            assert!(found(planted_fault), "{planted_fault:?} was not found");
         }
     }
 }
--- a/crates/continuity/tests/traffic.rs
+++ b/crates/continuity/tests/traffic.rs
@@ -1,6 +1,9 @@
 //! What estates cost each director on the wire: flat in the size of the fleet.
 use std::collections::BTreeMap;
-use stonewharf_continuity::{ContinuitySettings, Deed, Estates, Hand, Me, Member, SharedHand, Stub, Word};
+use stonewharf_continuity::{
+    Action, ContinuitySettings, Coordinator, LocalDirector, Member, Message, OwnershipState, RequestSummary,
+    SharedCoordinator,
+};
 use stonewharf_core::{
     Class, ClassId, DedupScope, Effect, Event, Micros, Outcome, PlacementLimits, Request, RequestId,
     Settings, StreamerId, TitleId, ViewerId,
@@ -29,92 +32,93 @@
 }
 
 /// A word on its way: from, to, what.
-type Sent = (usize, usize, Word);
+type Sent = (usize, usize, Message);
 
 /// Bytes a second that a director sends on average, all but the giver, and the records that it keeps.
 fn played(directors: usize) -> (f64, f64) {
     let names = ["paid".to_owned(), "free".to_owned()];
-    let hands: Vec<SharedHand> = (0..directors)
+    let coordinators: Vec<SharedCoordinator> = (0..directors)
         .map(|i| {
-            let me = Me { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation: 1 };
-            let mut hand = Hand::new(ContinuitySettings::default(), &settings(), &names, me, 1_000_000);
-            hand.named([(StreamerId(0), "s-00000001".to_owned())]);
-            SharedHand::new(hand)
+            let me = LocalDirector { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation: 1 };
+            let mut coordinator =
+                Coordinator::new(ContinuitySettings::default(), &settings(), &names, me, 1_000_000);
+            coordinator.set_streamer_names([(StreamerId(0), "s-00000001".to_owned())]);
+            SharedCoordinator::new(coordinator)
         })
         .collect();
     let member = |i: usize| Member {
         name: format!("d{i}"),
         hall: ["a", "b"][i % 2].into(),
         incarnation: 1,
-        serves: true,
-        is_in: true,
+        serving: true,
+        in_fleet: true,
     };
     let members: Vec<Member> = (0..directors).map(member).collect();
-    let mut truth = Estates::default();
+    let mut truth = OwnershipState::default();
     let (mut way, mut next): (Vec<Sent>, Vec<Sent>) = Default::default();
     let mut ends: BTreeMap<(Micros, u64), usize> = BTreeMap::new();
     let (mut now, mut id, mut sent) = (1_000_000, 0_u64, vec![0_u64; directors]);
     for step in 0..SECONDS * 1_000_000 / STEP {
         now += STEP;
         let counts = now > 1_000_000 + 4_000_000; // once all have their leases and keepers
-        for (from, to, word) in std::mem::take(&mut way) {
-            hands[to].0.borrow_mut().hear(now, &format!("d{from}"), word);
+        for (from, to, message) in std::mem::take(&mut way) {
+            coordinators[to].0.borrow_mut().receive(now, &format!("d{from}"), message);
         }
         while let Some(entry) = ends.first_entry().filter(|e| e.key().0 <= now) {
             let (request, i) = (RequestId(entry.key().1), entry.remove());
             let (streamer, outcome, report) = (StreamerId(0), Outcome::Ok, Default::default());
             let event = Event::Ended { request, attempt: 0, streamer, outcome, last: true, report };
-            hands[i].clone().observe_event(now, &event, &mut |_| {});
+            coordinators[i].clone().observe_event(now, &event, &mut |_| {});
         }
         let mut confirmed = false;
-        for (i, hand) in hands.iter().enumerate() {
-            let mut seam = hand.clone();
+        for (i, coordinator) in coordinators.iter().enumerate() {
+            let mut seam = coordinator.clone();
             for _ in 0..PER_S * STEP / 1_000_000 {
                 id += 1;
-                let stub = Stub {
+                let summary = RequestSummary {
                     class: names[usize::from(!id.is_multiple_of(3))].clone(),
                     title: format!("{id:016x}"),
                     viewer: format!("{id:016x}"),
-                    home: 1,
-                    copies: 3,
-                    top: Some(2),
+                    start_cell: 1,
+                    cells_in_row: 3,
+                    max_rung: Some(2),
                 };
                 let (viewer, title) = (ViewerId(id as u32), TitleId(id as u32));
                 let class = ClassId(usize::from(!id.is_multiple_of(3)));
                 let request = Request { id: RequestId(id), viewer, title, class, ..Request::default() };
-                hand.0.borrow_mut().wanted(id, stub);
+                coordinator.0.borrow_mut().note_request(id, summary);
                 seam.observe_event(now, &Event::Inbound(request.clone()), &mut |_| {});
                 seam.attempt_sent(now, &request, StreamerId(0), 1);
                 let (request, streamer) = (request.id, StreamerId(0));
                 seam.observe_event(now, &Event::Started { request, streamer, latency_us: 1 }, &mut |_| {});
                 ends.insert((now + LASTS, id), i);
             }
-            let mut hand = hand.0.borrow_mut();
+            let mut coordinator = coordinator.0.borrow_mut();
             if step == 0 {
-                hand.members(now, members.clone());
+                coordinator.set_members(now, members.clone());
             }
-            hand.agreed(now, &truth);
-            hand.leads(now, i == 0);
-            hand.due(now);
-            for deed in hand.take() {
-                match deed {
-                    Deed::Send(to, word) => {
-                        sent[i] += if counts { word.write().len() as u64 } else { 0 };
+            coordinator.apply_ownership(now, &truth);
+            coordinator.set_leading(now, i == 0);
+            coordinator.tick(now);
+            for action in coordinator.take_actions() {
+                match action {
+                    Action::Send(to, message) => {
+                        sent[i] += if counts { message.encode().len() as u64 } else { 0 };
                         let to = to.strip_prefix('d').and_then(|n| n.parse().ok()).expect("a director");
-                        next.push((i, to, word));
+                        next.push((i, to, message));
                     }
-                    Deed::Order(command) => drop(truth.take(command)),
-                    Deed::Confirm => confirmed = true,
+                    Action::Propose(command) => drop(truth.take(command)),
+                    Action::ConfirmLeadership => confirmed = true,
                     _ => {}
                 }
             }
         }
         if confirmed {
-            hands[0].0.borrow_mut().confirmed(now, true);
+            coordinators[0].0.borrow_mut().leadership_confirmed(now, true);
         }
         std::mem::swap(&mut way, &mut next);
     }
-    let kept: usize = hands.iter().map(|h| h.0.borrow().sizes()[1]).sum();
+    let kept: usize = coordinators.iter().map(|h| h.0.borrow().session_counts()[1]).sum();
     let bytes: u64 = sent[1..].iter().sum();
     let seconds = (SECONDS - 4) as f64;
     (bytes as f64 / seconds / (directors - 1) as f64, kept as f64 / directors as f64)
--- a/crates/continuity/tests/world/mod.rs
+++ b/crates/continuity/tests/world/mod.rs
@@ -4,7 +4,10 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
-use stonewharf_continuity::{Command, ContinuitySettings, Estates, Hand, Me, Member, SharedHand, Word};
+use stonewharf_continuity::{
+    Command, ContinuitySettings, Coordinator, LocalDirector, Member, Message, OwnershipState,
+    SharedCoordinator,
+};
 use stonewharf_core::{Class, DedupScope, Effect, Micros, Settings, StreamerId};
 
 pub const DIRECTORS: usize = 6;
@@ -21,7 +24,7 @@
 }
 
 pub enum Event2 {
-    Word(usize, usize, u64, Word),
+    Message(usize, usize, u64, Message),
     Command(Command),
     Confirm(usize, u64, u64),
     Proof(usize, u64, u64),
@@ -36,7 +39,7 @@
 }
 
 pub struct Director {
-    pub hand: SharedHand,
+    pub coordinator: SharedCoordinator,
     life: u64,
     runs: Runs,
     /// What the log held when it last heard of it.
@@ -51,7 +54,7 @@
     dice: ChaCha8Rng,
     pub now: Micros,
     pub directors: Vec<Director>,
-    truth: Estates,
+    truth: OwnershipState,
     leader: usize,
     term: u64,
     led_at: Micros,
@@ -63,7 +66,7 @@
     returns: Vec<(Micros, u32, u32)>,
     ids: u64,
     pub faults: bool,
-    pub cuts: bool,
+    pub scheduled_releases: bool,
     pub acts: u64,
     pub adopted: u64,
     pub claims: u64,
@@ -90,19 +93,19 @@
     }
 }
 
-pub fn hand(i: usize, life: u64, now: Micros) -> SharedHand {
+pub fn coordinator(i: usize, life: u64, now: Micros) -> SharedCoordinator {
     let names = ["paid".to_owned(), "free".to_owned()];
-    let me = Me { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation: life };
-    let set = ContinuitySettings { heir_most: 20, ..ContinuitySettings::default() };
-    let mut hand = Hand::new(set, &settings(), &names, me, now);
-    hand.named([(StreamerId(0), "s0".to_owned())]);
-    SharedHand::new(hand)
+    let me = LocalDirector { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation: life };
+    let set = ContinuitySettings { sessions_per_successor: 20, ..ContinuitySettings::default() };
+    let mut coordinator = Coordinator::new(set, &settings(), &names, me, now);
+    coordinator.set_streamer_names([(StreamerId(0), "s0".to_owned())]);
+    SharedCoordinator::new(coordinator)
 }
 
 impl Sim {
     pub fn new(seed: u64) -> Sim {
         let director = |i| Director {
-            hand: hand(i, 1_000 + i as u64, SECOND),
+            coordinator: coordinator(i, 1_000 + i as u64, SECOND),
             life: 1_000 + i as u64,
             runs: Runs::Yes,
             heard: 0,
@@ -113,7 +116,7 @@
             dice: ChaCha8Rng::seed_from_u64(seed),
             now: SECOND,
             directors: (0..DIRECTORS).map(director).collect(),
-            truth: Estates::default(),
+            truth: OwnershipState::default(),
             leader: 0,
             term: 1,
             led_at: 0,
@@ -124,7 +127,7 @@
             returns: Vec::new(),
             ids: 0,
             faults: true,
-            cuts: true,
+            scheduled_releases: true,
             acts: 0,
             adopted: 0,
             claims: 0,
@@ -172,7 +175,7 @@
                 Runs::Stopped(_) | Runs::Dead(_) => true,
             };
             let (name, hall) = (format!("d{j}"), ["a", "b"][j % 2].to_owned());
-            Member { name, hall, incarnation: self.directors[j].life, serves: !gone, is_in: !gone }
+            Member { name, hall, incarnation: self.directors[j].life, serving: !gone, in_fleet: !gone }
         };
         (0..DIRECTORS).map(of).collect()
     }
@@ -212,7 +215,7 @@
                 Runs::Dead(until) if until <= self.now => {
                     let life = self.now;
                     self.directors[i] = Director {
-                        hand: hand(i, life, self.now),
+                        coordinator: coordinator(i, life, self.now),
                         life,
                         runs: Runs::Yes,
                         heard: 0,
@@ -243,7 +246,7 @@
                 }
             }
             1 if self.up(i) && down < 2 => self.directors[i].runs = Runs::Stopped(self.now + lasts),
-            2 if self.cuts => {
+            2 if self.scheduled_releases => {
                 for j in 0..DIRECTORS {
                     if i != j && self.below(5) > 0 {
                         self.cut.insert((i.min(j), i.max(j)), self.now + lasts);
@@ -256,12 +259,12 @@
 
     fn happen(&mut self, what: Event2) {
         match what {
-            Event2::Word(from, to, life, word) => {
+            Event2::Message(from, to, life, message) => {
                 if self.up(to) && !self.apart(from, to) && self.directors[from].life >= life {
-                    let hand = &self.directors[to].hand.0;
-                    hand.borrow_mut().hear(self.now, &format!("d{from}"), word);
+                    let coordinator = &self.directors[to].coordinator.0;
+                    coordinator.borrow_mut().receive(self.now, &format!("d{from}"), message);
                 } else if matches!(self.directors[to].runs, Runs::Stopped(_)) {
-                    self.put(SECOND, Event2::Word(from, to, life, word)); // its socket's queue keeps it
+                    self.put(SECOND, Event2::Message(from, to, life, message)); // its socket's queue keeps it
                 }
             }
             Event2::Command(command) => {
@@ -270,14 +273,14 @@
             Event2::Confirm(i, life, term) => {
                 let led = self.leader == i && self.term == term && self.directors[i].life == life;
                 if self.up(i) && self.directors[i].life == life {
-                    self.directors[i].hand.0.borrow_mut().confirmed(self.now, led);
+                    self.directors[i].coordinator.0.borrow_mut().leadership_confirmed(self.now, led);
                 }
             }
             Event2::Proof(i, life, id) => {
                 // A release ends a session that stands or is being set up.
                 self.playing.remove(&id);
                 if self.up(i) && self.directors[i].life == life {
-                    self.directors[i].hand.0.borrow_mut().settled(self.now, id);
+                    self.directors[i].coordinator.0.borrow_mut().end_confirmed(self.now, id);
                 }
             }
         }
--- a/crates/continuity/tests/world/turn.rs
+++ b/crates/continuity/tests/world/turn.rs
@@ -1,6 +1,6 @@
 //! What streamers, viewers and directors do in a step.
 use super::{DIRECTORS, Event2, MET, Plays, SECOND, Sim};
-use stonewharf_continuity::{Deed, Member, Record, Stage, Stub, Word};
+use stonewharf_continuity::{Action, Member, Message, Record, RequestSummary, Stage};
 use stonewharf_core::{
     Event, Micros, Outcome, PlacementLimits, Request, RequestId, StreamerId, TitleId, ViewerId, hash_name,
 };
@@ -31,7 +31,7 @@
 
     pub(super) fn tell(&mut self, i: usize, event: Event) {
         let now = self.now;
-        self.directors[i].hand.observe_event(now, &event, &mut |_| {});
+        self.directors[i].coordinator.observe_event(now, &event, &mut |_| {});
     }
 
     pub(super) fn viewers(&mut self) {
@@ -63,32 +63,32 @@
         }
         self.ids += 1;
         let (id, paid) = (self.ids, viewer.is_multiple_of(3));
-        let stub = Stub {
+        let summary = RequestSummary {
             class: if paid { "paid" } else { "free" }.into(),
             title: format!("t{title}"),
             viewer: format!("v{viewer}"),
-            copies: 1,
-            ..Stub::default()
+            cells_in_row: 1,
+            ..RequestSummary::default()
         };
         let request = Request {
             id: RequestId(id),
             class: stonewharf_core::ClassId(usize::from(!paid)),
-            title: TitleId(hash_name(&stub.title)),
-            viewer: ViewerId(hash_name(&stub.viewer)),
+            title: TitleId(hash_name(&summary.title)),
+            viewer: ViewerId(hash_name(&summary.viewer)),
             returned,
             ..Request::default()
         };
         let now = self.now;
-        self.directors[i].hand.0.borrow_mut().wanted(id, stub);
+        self.directors[i].coordinator.0.borrow_mut().note_request(id, summary);
         self.tell(i, Event::Inbound(request.clone()));
-        if !self.directors[i].hand.constraints(now, &request, StreamerId(0)).allowed {
+        if !self.directors[i].coordinator.constraints(now, &request, StreamerId(0)).allowed {
             self.claims += 1;
             let after = 200_000 + self.below(200_000);
             self.returns.push((now + after, viewer, title));
             self.drain(i);
             return;
         }
-        self.directors[i].hand.attempt_sent(now, &request, StreamerId(0), 1);
+        self.directors[i].coordinator.attempt_sent(now, &request, StreamerId(0), 1);
         self.drain(i);
         let beside = self.playing.values().any(|p| p.paid && p.key == (viewer, title));
         if paid && beside {
@@ -113,9 +113,9 @@
         let now = self.now;
         {
             let d = &mut self.directors[i];
-            let mut hand = d.hand.0.borrow_mut();
+            let mut coordinator = d.coordinator.0.borrow_mut();
             if let Some(view) = view {
-                hand.members(now, view);
+                coordinator.set_members(now, view);
             }
             // The log's news comes by the leader.
             let behind = d.heard < self.truth.version;
@@ -125,10 +125,10 @@
                 })
             {
                 d.heard = self.truth.version;
-                hand.agreed(now, &self.truth);
+                coordinator.apply_ownership(now, &self.truth);
             }
-            hand.leads(now, self.leader == i && self.led_at + SECOND / 4 <= now);
-            hand.due(now);
+            coordinator.set_leading(now, self.leader == i && self.led_at + SECOND / 4 <= now);
+            coordinator.tick(now);
         }
         self.drain(i);
         self.act(i);
@@ -140,12 +140,12 @@
         if self.below(3) == 0 && !self.directors[i].sessions.is_empty() {
             let at = self.below(self.directors[i].sessions.len() as u64) as usize;
             let id = self.directors[i].sessions.iter().nth(at).copied().unwrap_or(0);
-            if self.directors[i].hand.0.borrow().may_act(now, id) {
+            if self.directors[i].coordinator.0.borrow().may_act(now, id) {
                 self.directors[i].decided.push((now, id));
             }
         }
         for (_, id) in std::mem::take(&mut self.directors[i].decided) {
-            if !self.directors[i].hand.0.borrow().may_act(now, id)
+            if !self.directors[i].coordinator.0.borrow().may_act(now, id)
                 || !self.directors[i].sessions.contains(&id)
             {
                 continue;
@@ -155,8 +155,8 @@
             let others = (0..DIRECTORS).filter(|j| *j != i && self.directors[*j].sessions.contains(&id));
             let others: Vec<usize> = others
                 .filter(|j| {
-                    let hand = self.directors[*j].hand.0.borrow();
-                    hand.may_act(now, id) && hand.record(id).is_some() && self.up(*j)
+                    let coordinator = self.directors[*j].coordinator.0.borrow();
+                    coordinator.may_act(now, id) && coordinator.record(id).is_some() && self.up(*j)
                 })
                 .collect();
             if !others.is_empty() {
@@ -168,50 +168,50 @@
 
     pub(super) fn drain(&mut self, i: usize) {
         loop {
-            let deeds = self.directors[i].hand.0.borrow_mut().take();
-            if deeds.is_empty() {
+            let actions = self.directors[i].coordinator.0.borrow_mut().take_actions();
+            if actions.is_empty() {
                 return;
             }
-            for deed in deeds {
-                self.carry_out(i, deed);
+            for action in actions {
+                self.carry_out(i, action);
             }
         }
     }
 
-    pub(super) fn carry_out(&mut self, i: usize, deed: Deed) {
+    pub(super) fn carry_out(&mut self, i: usize, action: Action) {
         let (now, life) = (self.now, self.directors[i].life);
-        match deed {
-            Deed::Send(to, word) => {
+        match action {
+            Action::Send(to, message) => {
                 let Some(to) = to.strip_prefix('d').and_then(|n| n.parse().ok()) else { return };
                 let late = 500 + self.below(40_000);
                 // Words get lost; marks only by cuts and crashes, which the check of claims does without.
-                let mark = matches!(word, Word::Mark { .. });
+                let mark = matches!(message, Message::RegisterSession { .. });
                 if mark || self.below(50) > 0 {
-                    self.put(late, Event2::Word(i, to, life, word));
+                    self.put(late, Event2::Message(i, to, life, message));
                 }
             }
-            Deed::Order(command) => {
+            Action::Propose(command) => {
                 if !self.apart(i, self.leader) && self.up(self.leader) {
                     // It may be carried about for a while, past a change of leader.
                     let late = if self.below(10) == 0 { self.below(4 * SECOND) } else { 2_000 };
                     self.put(late, Event2::Command(command));
                 }
             }
-            Deed::Confirm => {
+            Action::ConfirmLeadership => {
                 let late = 1_000 + self.below(20_000);
                 let term = self.term;
                 self.put(late, Event2::Confirm(i, life, term));
             }
-            Deed::Adopt(records) => {
+            Action::Adopt(records) => {
                 for (id, record) in records {
                     self.adopt(i, id, &record);
                 }
             }
-            Deed::Settle(id, _) => {
+            Action::EndAtStreamer(id, _) => {
                 let late = 1_000 + self.below(5_000);
                 self.put(late, Event2::Proof(i, life, id));
             }
-            Deed::Yield(id) => {
+            Action::EndForReturn(id) => {
                 self.directors[i].sessions.remove(&id);
                 self.tell(
                     i,
@@ -225,17 +225,17 @@
                     },
                 );
             }
-            Deed::Cut(id, _) => drop(self.playing.remove(&id)),
-            Deed::LayDown(ids) => ids.iter().for_each(|id| {
+            Action::Release(id, _) => drop(self.playing.remove(&id)),
+            Action::Forget(ids) => ids.iter().for_each(|id| {
                 self.directors[i].sessions.remove(id);
             }),
-            Deed::Stray(..) | Deed::Tell(_) => {}
+            Action::MisroutedEnd(..) | Action::Log(_) => {}
         }
         let _ = now;
     }
 
     pub(super) fn adopt(&mut self, i: usize, id: u64, record: &Record) {
-        assert_eq!(record.stage, Stage::Standing, "what was out is ended, not adopted");
+        assert_eq!(record.stage, Stage::Established, "what was out is ended, not adopted");
         self.adopted += 1;
         if !self.playing.contains_key(&id) {
             self.lost_sessions += 1; // it ended meanwhile; its streamer says so to whoever asks
@@ -244,9 +244,9 @@
         self.directors[i].sessions.insert(id);
         let request = Request {
             id: RequestId(id),
-            class: stonewharf_core::ClassId(usize::from(record.stub.class != "paid")),
-            title: TitleId(hash_name(&record.stub.title)),
-            viewer: ViewerId(hash_name(&record.stub.viewer)),
+            class: stonewharf_core::ClassId(usize::from(record.summary.class != "paid")),
+            title: TitleId(hash_name(&record.summary.title)),
+            viewer: ViewerId(hash_name(&record.summary.viewer)),
             ..Request::default()
         };
         self.tell(i, Event::Preexisting(request, StreamerId(0)));
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -10,10 +10,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod giver;
+mod duration;
+mod grantor;
 mod holder;
-mod span;
 
-pub use giver::{Ask, Giver, Grant, NotYet};
-pub use holder::Holder;
-pub use span::{Span, SpanError};
+pub use duration::{LeaseDuration, LeaseDurationError};
+pub use grantor::{CloseError, Grant, LeaseGrantor, LeaseRequest};
+pub use holder::LeaseHolder;
--- a/src/net/agreed/mod.rs
+++ b/src/net/agreed/mod.rs
@@ -6,7 +6,7 @@
 mod seen;
 mod whole;
 
-use super::hand::Hands;
+use super::hand::ContinuityDriver;
 use super::narrowed::Narrowed;
 use super::peers::{Handed, Peers};
 use super::poll::Token;
@@ -60,7 +60,7 @@
     /// Drains of streamers, as the module asks them.
     pub drains: SharedDrains,
     /// Sessions that outlive their director, where that is on.
-    pub hands: Option<Hands>,
+    pub hands: Option<ContinuityDriver>,
     /// The confirmation of the lead that is under way, and the term in which it was asked for.
     confirm: Option<(u128, u64)>,
     budgets: OutSettings,
@@ -161,7 +161,7 @@
                         }
                         Ok(Spoken::Estate(word)) => {
                             let hands = self.hands.as_mut();
-                            hands.is_none_or(|hands| hands.hear(shared.now, &from, word))
+                            hands.is_none_or(|hands| hands.receive(shared.now, &from, word))
                         }
                         Err(_) => false,
                     };
@@ -196,7 +196,7 @@
         let held = self.holder.next_ms().map_or(Micros::MAX, |ms| ms.saturating_mul(1_000));
         let look = if self.led_since.is_some() { self.look_at } else { Micros::MAX };
         let health = if self.watched() { self.health_at } else { Micros::MAX };
-        let estates = self.hands.as_ref().map_or(Micros::MAX, Hands::next);
+        let estates = self.hands.as_ref().map_or(Micros::MAX, ContinuityDriver::next_tick_at);
         let next = [self.agreement.next(), held, look, health, estates].into_iter().min();
         let next = next.unwrap_or(Micros::MAX).max(shared.now + 1_000);
         if next < self.due_at || self.due_at <= shared.now {
@@ -297,12 +297,12 @@
     /// Hands on what is agreed, who is there and the time, and takes what is to be agreed.
     fn estates(&mut self, shared: &mut Shared, peers: &mut Peers) {
         let Some(hands) = &mut self.hands else { return };
-        let asked = hands.turned(shared, peers, &self.agreement.machine().estates, self.agreement.leads());
-        for command in asked.orders {
+        let asked = hands.tick(shared, peers, &self.agreement.machine().estates, self.agreement.leads());
+        for command in asked.commands {
             let id = self.id();
             self.agreement.order(shared.now, id, Order::Act(on_estates(&command)));
         }
-        if asked.confirm {
+        if asked.confirm_leadership {
             let id = self.id();
             self.confirm = Some((id, self.agreement.status().term));
             self.agreement.order(shared.now, id, Order::Confirm);
@@ -312,7 +312,7 @@
 
     /// Sends what waits to be said of estates; marks of paid sessions have to leave before their set-ups.
     pub fn say_of_estates(&mut self, shared: &mut Shared, peers: &mut Peers) {
-        let words = self.hands.as_mut().map(Hands::words).unwrap_or_default();
+        let words = self.hands.as_mut().map(ContinuityDriver::take_messages).unwrap_or_default();
         let spoken = |word: Vec<u8>| postcard::to_allocvec(&Spoken::Estate(&word)).unwrap_or_default();
         peers.post(shared, words.into_iter().map(|(to, word)| (to, spoken(word))).collect());
     }
@@ -330,7 +330,7 @@
                     // Of the term in which it was asked, or it says nothing of this lead.
                     let same = self.agreement.leads() && Some(self.agreement.status().term) == term;
                     let confirmed = same && matches!(answer, Answer::Done(_));
-                    self.hands.iter_mut().for_each(|hands| hands.confirmed(shared.now, confirmed));
+                    self.hands.iter_mut().for_each(|hands| hands.leadership_confirmed(shared.now, confirmed));
                 }
                 Deed::Answer(id, answer) => {
                     if let Some(token) = self.orders.remove(&id) {
--- a/src/net/agreed/whole.rs
+++ b/src/net/agreed/whole.rs
@@ -2,7 +2,7 @@
 //! begin with a byte that no other begins with, and their state follows the other: a program that knows
 //! nothing of them passes over both.
 use stonewharf_agreement::Machine;
-use stonewharf_continuity::{Command, Estates};
+use stonewharf_continuity::{Command, OwnershipState};
 use stonewharf_rollout::Rollout;
 
 /// No command of a rollout begins with this: their numbers are small.
@@ -14,7 +14,7 @@
     /// Who may be out of service.
     pub rollout: Rollout,
     /// What becomes of estates.
-    pub estates: Estates,
+    pub estates: OwnershipState,
 }
 
 /// A command on estates, as bytes.
@@ -29,7 +29,8 @@
     pub fn read(bytes: &[u8]) -> Option<Whole> {
         let (rollout, rest): (Rollout, _) = postcard::take_from_bytes(bytes).ok()?;
         // Of a version that knew no estates: none.
-        let estates = if rest.is_empty() { Estates::default() } else { postcard::from_bytes(rest).ok()? };
+        let estates =
+            if rest.is_empty() { OwnershipState::default() } else { postcard::from_bytes(rest).ok()? };
         let whole = Whole { rollout, estates };
         (rest.is_empty() || whole.snapshot() == bytes).then_some(whole)
     }
@@ -65,16 +66,16 @@
     fn both_parts_come_back_and_a_state_of_before_has_no_estates() {
         let mut whole = Whole::default();
         whole.apply(&Out::Time { now_ms: 7 }.write());
-        whole.apply(&on_estates(&Command::Reign { name: "d0".into(), life: 1 }));
-        assert_eq!((whole.rollout.now_ms, whole.estates.reign), (7, 1));
+        whole.apply(&on_estates(&Command::BecomeGrantor { name: "d0".into(), life: 1 }));
+        assert_eq!((whole.rollout.now_ms, whole.estates.grantor_term), (7, 1));
         let back = Whole::read(&whole.snapshot()).expect("read");
         assert_eq!((&back.rollout, &back.estates), (&whole.rollout, &whole.estates));
         let before = Whole::read(&whole.rollout.snapshot()).expect("read");
-        assert_eq!(before.estates, Estates::default());
+        assert_eq!(before.estates, OwnershipState::default());
         // What this version adds behind it is passed over by one that knows nothing of it.
         assert_eq!(Rollout::restore(&whole.snapshot()).as_ref(), Some(&whole.rollout));
         let mut old = Rollout::default();
-        let reply = old.apply(&on_estates(&Command::Reign { name: "d0".into(), life: 1 }));
+        let reply = old.apply(&on_estates(&Command::BecomeGrantor { name: "d0".into(), life: 1 }));
         assert_eq!((reply, old), (stonewharf_rollout::Reply::Unreadable, Rollout::default()));
     }
 }
--- a/src/net/begin.rs
+++ b/src/net/begin.rs
@@ -6,7 +6,7 @@
 use super::door::{self, Door};
 use super::duty::{Phase, grace_us};
 use super::error::NodeError;
-use super::hand::Hands;
+use super::hand::ContinuityDriver;
 use super::parts::Parts;
 use super::peers::{self, Peers};
 use super::poll::{self, Poll};
@@ -21,7 +21,7 @@
 use crate::settings::NameRegistry;
 use slog::{Logger, info};
 use std::path::{Path, PathBuf};
-use stonewharf_continuity::{ContinuitySettings, Hand, SharedHand};
+use stonewharf_continuity::{ContinuitySettings, Coordinator, SharedCoordinator};
 use stonewharf_fleet::{Fleet, FleetSettings, Me};
 use stonewharf_halls::{HallSettings, Halls, SharedHalls};
 use stonewharf_operator::{Known, Operator};
@@ -60,7 +60,7 @@
     if folder.is_some() {
         Signals::bear_full_files()?;
     }
-    let incarnation = lives::next(folder, now).map_err(|why| {
+    let incarnation = lives::next_incarnation(folder, now).map_err(|why| {
         NodeError::Fleet(format!("folder {:?} can't keep this life's number: {why}", set.folder))
     })?;
     let name = if set.name.is_empty() { config.name.clone() } else { set.name.clone() };
@@ -76,11 +76,11 @@
     fleet: Option<&Fleet>,
     set: Option<ContinuitySettings>,
     now: Micros,
-) -> Option<SharedHand> {
+) -> Option<SharedCoordinator> {
     let life = fleet?.me();
     let (name, hall) = (life.name.to_string(), life.hall.to_string());
-    let me = stonewharf_continuity::Me { name, hall, incarnation: life.incarnation };
-    Some(SharedHand::new(Hand::new(set?, settings, names.classes(), me, now)))
+    let me = stonewharf_continuity::LocalDirector { name, hall, incarnation: life.incarnation };
+    Some(SharedCoordinator::new(Coordinator::new(set?, settings, names.classes(), me, now)))
 }
 
 /// The settings of the halls; a block that is absent is off, and may come by a reload.
@@ -169,8 +169,8 @@
             _ => None,
         };
         if let (Some(agreed), Some(hand)) = (&mut agreed, lasting) {
-            let hands = Hands::new(hand);
-            shared.leave = Some(hands.leave(clock.clone()));
+            let hands = ContinuityDriver::new(hand);
+            shared.leave = Some(hands.act_permission(clock.clone()));
             agreed.hands = Some(hands);
         }
         let door = match config.admin_addr {
@@ -212,7 +212,7 @@
             told_to_end: false,
             duty,
             figures,
-            estate: config.shared_folder().map(|folder| estate::place(folder, &config.name)),
+            estate: config.shared_folder().map(|folder| estate::file_path(folder, &config.name)),
             inherited: false,
             phase: Phase::Serving,
             tracing: false,
--- a/src/net/duty.rs
+++ b/src/net/duty.rs
@@ -85,7 +85,7 @@
         let at = self.duty.stop_deadline().unwrap_or(self.shared.now);
         info!(self.shared.log, "asked to end"; "grace_ms" => at.saturating_sub(self.shared.now) / 1000);
         self.parts.peers.iter_mut().for_each(|peers| peers.leaving(self.shared.now));
-        self.estate_leaves();
+        self.continuity_leave();
         self.shared.deadlines.set(at, Due::Quit);
         if !self.duty.accepts_connections() {
             self.parts.viewers.shut(&self.shared);
@@ -164,7 +164,7 @@
 
     /// Whether what stands is left to another process, and not released.
     fn leaves_sessions(&self) -> bool {
-        self.duty.hands_over_sessions() || self.has_heirs()
+        self.duty.hands_over_sessions() || self.has_successors()
     }
 
     /// Goes on with the end as a turn is over: answers what is open, ends the connections, and leaves when
@@ -187,7 +187,7 @@
     fn close(&mut self) {
         self.phase = Phase::Closing { since: self.shared.now };
         if let Some(place) = &self.estate
-            && let Err(why) = estate::leave(place, &self.director.sessions_to_hand_over())
+            && let Err(why) = estate::write(place, &self.director.sessions_to_hand_over())
         {
             warn!(self.shared.log, "nothing is left to the next process: {why}");
         }
--- a/src/net/estate.rs
+++ b/src/net/estate.rs
@@ -31,13 +31,13 @@
 }
 
 /// Where a director's processes leave it, by the director's name.
-pub fn place(folder: &Path, name: &str) -> PathBuf {
+pub fn file_path(folder: &Path, name: &str) -> PathBuf {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     folder.join(format!("stonewharf-{}.estate", name.chars().map(plain).collect::<String>()))
 }
 
 /// Leaves it.
-pub fn leave(place: &Path, sessions: &[(RequestId, usize)]) -> Result<(), EstateError> {
+pub fn write(place: &Path, sessions: &[(RequestId, usize)]) -> Result<(), EstateError> {
     let sessions = sessions.iter().take(SESSIONS_MOST);
     let sessions = sessions.map(|(id, rung)| (id.0, u8::try_from(*rung).unwrap_or(u8::MAX))).collect();
     let bytes = postcard::to_allocvec(&Estate { form: FORM, sessions }).unwrap_or_default();
@@ -75,14 +75,14 @@
     fn what_is_left_is_taken_once_and_nothing_else_is_believed() {
         let folder = std::env::temp_dir().join(format!("stonewharf-estate-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let at = place(&folder, "n/0");
+        let at = file_path(&folder, "n/0");
         assert_eq!(take(&at).expect("nothing yet"), Vec::new());
         let left = vec![(RequestId(7), 3), (RequestId(u64::MAX), 0)];
-        leave(&at, &[]).expect("left");
-        leave(&at, &left).expect("left anew");
+        write(&at, &[]).expect("left");
+        write(&at, &left).expect("left anew");
         assert_eq!(take(&at).expect("taken"), left);
         assert_eq!(take(&at).expect("once"), Vec::new());
-        leave(&at, &left).expect("left");
+        write(&at, &left).expect("left");
         let mut bytes = std::fs::read(&at).expect("there");
         for cut in 0..bytes.len() {
             std::fs::write(&at, &bytes[..cut]).expect("cut short");
@@ -92,7 +92,7 @@
         std::fs::write(&at, &bytes).expect("another form");
         let why = take(&at).expect_err("another form").to_string();
         assert!(why.contains("another version"), "{why}");
-        assert!(leave(&folder.join("none/at/all"), &left).is_err());
+        assert!(write(&folder.join("none/at/all"), &left).is_err());
         assert_eq!(std::fs::read_dir(&folder).expect("there").count(), 0, "nothing is left lying");
         let _ = std::fs::remove_dir_all(&folder);
     }
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -13,173 +13,180 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use stonewharf_continuity::{
-    Command, Deed, Estates, Hand, Member, News, Record, SharedHand, StrayKind, Stub,
+    Action, Command, Coordinator, EndKind, LogEvent, Member, OwnershipState, Record, RequestSummary,
+    SharedCoordinator,
 };
 use stonewharf_fleet::{Phase, Standing};
 
 /// Nobody's connection: inherited sessions came on none.
-const NOBODY: ViewerLink = ViewerLink(usize::MAX);
+const NO_LINK: ViewerLink = ViewerLink(usize::MAX);
 
 /// Whether this director may act on a session, at the moment at which it is asked: bytes that were decided on
 /// before this process stood still must not go out after.
 #[derive(Clone)]
-pub struct Leave {
-    hand: Rc<RefCell<Hand>>,
+pub struct ActPermission {
+    coordinator: Rc<RefCell<Coordinator>>,
     clock: Clock,
 }
 
-impl Leave {
+impl ActPermission {
     /// Whether what is to be done to a session by this director's own will may go out now.
     pub fn may_act(&self, session: RequestId) -> bool {
-        self.hand.borrow().may_act(self.clock.now(), session.0)
+        self.coordinator.borrow().may_act(self.clock.now(), session.0)
     }
 }
 
 /// What is to be agreed.
 #[derive(Default)]
-pub struct Asked {
+pub struct ToAgree {
     /// Commands.
-    pub orders: Vec<Command>,
+    pub commands: Vec<Command>,
     /// The lead is to be confirmed.
-    pub confirm: bool,
+    pub confirm_leadership: bool,
 }
 
 /// This director's part at the loop.
-pub struct Hands {
-    hand: SharedHand,
+pub struct ContinuityDriver {
+    coordinator: SharedCoordinator,
     version: Option<u64>,
-    words: Vec<(String, Vec<u8>)>,
+    messages: Vec<(String, Vec<u8>)>,
     /// What the node has to do.
-    deeds: Vec<Deed>,
+    actions: Vec<Action>,
 }
 
-impl Hands {
+impl ContinuityDriver {
     /// The part of one director.
-    pub fn new(hand: SharedHand) -> Hands {
-        Hands { hand, version: None, words: Vec::new(), deeds: Vec::new() }
+    pub fn new(coordinator: SharedCoordinator) -> ContinuityDriver {
+        ContinuityDriver { coordinator, version: None, messages: Vec::new(), actions: Vec::new() }
     }
 
     /// What is asked as bytes go out.
-    pub fn leave(&self, clock: Clock) -> Leave {
-        Leave { hand: Rc::clone(&self.hand.0), clock }
+    pub fn act_permission(&self, clock: Clock) -> ActPermission {
+        ActPermission { coordinator: Rc::clone(&self.coordinator.0), clock }
     }
 
     /// Takes a word; false where it can't be read.
-    pub fn hear(&mut self, now: Micros, from: &str, word: &[u8]) -> bool {
-        self.hand.0.borrow_mut().hear_bytes(now, from, word).is_ok()
+    pub fn receive(&mut self, now: Micros, from: &str, message: &[u8]) -> bool {
+        self.coordinator.0.borrow_mut().receive_bytes(now, from, message).is_ok()
     }
 
     /// The answer to a question for confirmation.
-    pub fn confirmed(&mut self, now: Micros, confirmed: bool) {
-        self.hand.0.borrow_mut().confirmed(now, confirmed);
+    pub fn leadership_confirmed(&mut self, now: Micros, confirmed: bool) {
+        self.coordinator.0.borrow_mut().leadership_confirmed(now, confirmed);
     }
 
     /// When [`Hands::turned`] wants to be called next.
-    pub fn next(&self) -> Micros {
-        self.hand.0.borrow().next()
+    pub fn next_tick_at(&self) -> Micros {
+        self.coordinator.0.borrow().next_tick_at()
     }
 
     /// Tells its part what there is to tell; returns what is to be agreed.
-    pub fn turned(&mut self, shared: &Shared, peers: &Peers, estates: &Estates, leads: bool) -> Asked {
+    pub fn tick(
+        &mut self,
+        shared: &Shared,
+        peers: &Peers,
+        ownership: &OwnershipState,
+        leads: bool,
+    ) -> ToAgree {
         let now = shared.now;
-        let mut hand = self.hand.0.borrow_mut();
+        let mut coordinator = self.coordinator.0.borrow_mut();
         if self.version != Some(peers.version()) {
             self.version = Some(peers.version());
-            hand.members(now, members(peers, shared));
+            coordinator.set_members(now, members(peers, shared));
         }
-        hand.agreed(now, estates);
-        hand.leads(now, leads);
-        hand.due(now);
-        drop(hand);
-        let mut asked = Asked::default();
-        self.gather(&mut asked);
-        asked
+        coordinator.apply_ownership(now, ownership);
+        coordinator.set_leading(now, leads);
+        coordinator.tick(now);
+        drop(coordinator);
+        let mut to_agree = ToAgree::default();
+        self.gather(&mut to_agree);
+        to_agree
     }
 
-    fn gather(&mut self, asked: &mut Asked) {
-        for deed in self.hand.0.borrow_mut().take() {
-            match deed {
-                Deed::Send(to, word) => self.words.push((to, word.write())),
-                Deed::Order(command) => asked.orders.push(command),
-                Deed::Confirm => asked.confirm = true,
-                deed => self.deeds.push(deed),
+    fn gather(&mut self, to_agree: &mut ToAgree) {
+        for action in self.coordinator.0.borrow_mut().take_actions() {
+            match action {
+                Action::Send(to, message) => self.messages.push((to, message.encode())),
+                Action::Propose(command) => to_agree.commands.push(command),
+                Action::ConfirmLeadership => to_agree.confirm_leadership = true,
+                action => self.actions.push(action),
             }
         }
     }
 
     /// What is to be said; what is to be agreed waits for the end of the turn.
-    pub fn words(&mut self) -> Vec<(String, Vec<u8>)> {
-        let deeds = self.hand.0.borrow_mut().take();
+    pub fn take_messages(&mut self) -> Vec<(String, Vec<u8>)> {
+        let actions = self.coordinator.0.borrow_mut().take_actions();
         let mut kept = Vec::new();
-        for deed in deeds {
-            match deed {
-                Deed::Send(to, word) => self.words.push((to, word.write())),
-                deed => kept.push(deed),
+        for action in actions {
+            match action {
+                Action::Send(to, message) => self.messages.push((to, message.encode())),
+                action => kept.push(action),
             }
         }
-        self.hand.0.borrow_mut().put_back(kept);
-        std::mem::take(&mut self.words)
+        self.coordinator.0.borrow_mut().put_back_actions(kept);
+        std::mem::take(&mut self.messages)
     }
 }
 
 /// The fleet, as far as estates go.
 fn members(peers: &Peers, shared: &Shared) -> Vec<Member> {
     let of = |m: stonewharf_fleet::MemberView| {
-        let is_in = m.standing == Standing::In;
-        let serves = is_in && m.phase == Phase::Serving;
-        Member { name: m.name, hall: m.hall, incarnation: m.incarnation, serves, is_in }
+        let in_fleet = m.standing == Standing::In;
+        let serving = in_fleet && m.phase == Phase::Serving;
+        Member { name: m.name, hall: m.hall, incarnation: m.incarnation, serving, in_fleet }
     };
     peers.view(shared).members.into_iter().map(of).collect()
 }
 
 impl Node {
-    fn hand(&self) -> Option<SharedHand> {
-        self.agreed.as_ref()?.hands.as_ref().map(|hands| hands.hand.clone())
+    fn coordinator(&self) -> Option<SharedCoordinator> {
+        self.agreed.as_ref()?.hands.as_ref().map(|driver| driver.coordinator.clone())
     }
 
     /// A viewer's set-up came: what an heir would have to know of it.
-    pub(super) fn estate_wanted(&mut self, id: u64, stub: impl FnOnce() -> Stub) {
-        if let Some(hand) = self.hand() {
-            hand.0.borrow_mut().wanted(id, stub());
+    pub(super) fn continuity_note_request(&mut self, id: u64, summary: impl FnOnce() -> RequestSummary) {
+        if let Some(coordinator) = self.coordinator() {
+            coordinator.0.borrow_mut().note_request(id, summary());
         }
     }
 
     /// The list's news: names of streamers, and whose processes are new or gone.
-    pub(super) fn estate_listed(&mut self, now: Micros, listed: &[(StreamerId, bool)]) {
-        let Some(hand) = self.hand() else { return };
-        let mut hand = hand.0.borrow_mut();
+    pub(super) fn continuity_streamers_listed(&mut self, now: Micros, listed: &[(StreamerId, bool)]) {
+        let Some(coordinator) = self.coordinator() else { return };
+        let mut coordinator = coordinator.0.borrow_mut();
         for (streamer, anew) in listed {
             let Some(name) = self.names.streamers.resolve(streamer.0) else { continue };
-            hand.named([(*streamer, name.to_owned())]);
+            coordinator.set_streamer_names([(*streamer, name.to_owned())]);
             if *anew {
-                hand.restarted(now, name);
+                coordinator.streamer_restarted(now, name);
             }
         }
     }
 
     /// Looks through what came in, ahead of the core: what another director's heir must hear, proofs, and
     /// losses of streamers that a director without a lease must not act on.
-    pub(super) fn estate_inputs(&mut self, inputs: &mut Vec<Input>) {
-        let Some(hand) = self.hand() else { return };
-        let mut hand = hand.0.borrow_mut();
+    pub(super) fn continuity_inputs(&mut self, inputs: &mut Vec<Input>) {
+        let Some(coordinator) = self.coordinator() else { return };
+        let mut coordinator = coordinator.0.borrow_mut();
         let (now, director) = (self.shared.now, &self.director);
         inputs.retain(|input| {
             match input {
                 Input::Released { session, why, .. } if !director.holds(*session) => {
                     let what = match why {
-                        SessionEnd::Ended => StrayKind::Ended,
-                        SessionEnd::Cut => StrayKind::Cut,
-                        SessionEnd::Left => StrayKind::Left,
+                        SessionEnd::Ended => EndKind::Ended,
+                        SessionEnd::Cut => EndKind::Cut,
+                        SessionEnd::Left => EndKind::Left,
                     };
-                    hand.stray(now, session.0, what);
+                    coordinator.misrouted_end(now, session.0, what);
                 }
                 Input::ViewerLeft(_, session)
-                    if !director.holds(*session) || !hand.may_act(now, session.0) =>
+                    if !director.holds(*session) || !coordinator.may_act(now, session.0) =>
                 {
-                    hand.stray(now, session.0, StrayKind::Left);
+                    coordinator.misrouted_end(now, session.0, EndKind::Left);
                 }
-                Input::DropHeard(session) => hand.settled(now, session.0),
-                Input::Lost(_) => return hand.sessions() == 0 || hand.leased_until() > now,
+                Input::DropHeard(session) => coordinator.end_confirmed(now, session.0),
+                Input::Lost(_) => return coordinator.sessions() == 0 || coordinator.leased_until() > now,
                 _ => {}
             }
             true
@@ -187,69 +194,75 @@
     }
 
     /// Sends what has to leave ahead of the core's deeds.
-    pub(super) fn estate_words(&mut self) {
+    pub(super) fn continuity_send(&mut self) {
         if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.parts.peers) {
             agreed.say_of_estates(&mut self.shared, peers);
         }
     }
 
     /// This director leaves: it hands its estate over.
-    pub(super) fn estate_leaves(&mut self) {
-        if let Some(hand) = self.hand() {
-            hand.0.borrow_mut().leaves(self.shared.now);
+    pub(super) fn continuity_leave(&mut self) {
+        if let Some(coordinator) = self.coordinator() {
+            coordinator.0.borrow_mut().leave(self.shared.now);
         }
     }
 
     /// Whether what stands is left to heirs at the end.
-    pub(super) fn has_heirs(&self) -> bool {
-        self.hand().is_some()
+    pub(super) fn has_successors(&self) -> bool {
+        self.coordinator().is_some()
     }
 
     /// Carries out what this director's part wants done.
-    pub(super) fn estate_deeds(&mut self) {
-        let hands = self.agreed.as_mut().and_then(|agreed| agreed.hands.as_mut());
-        let deeds = hands.map(|hands| std::mem::take(&mut hands.deeds)).unwrap_or_default();
-        for deed in deeds {
-            match deed {
-                Deed::Adopt(records) => records.into_iter().for_each(|(id, record)| self.adopt(id, &record)),
-                Deed::Settle(id, streamer) => {
+    pub(super) fn continuity_actions(&mut self) {
+        let driver = self.agreed.as_mut().and_then(|agreed| agreed.hands.as_mut());
+        let actions = driver.map(|driver| std::mem::take(&mut driver.actions)).unwrap_or_default();
+        for action in actions {
+            match action {
+                Action::Adopt(records) => {
+                    records.into_iter().for_each(|(id, record)| self.adopt(id, &record))
+                }
+                Action::EndAtStreamer(id, streamer) => {
                     if let Some(at) = self.names.streamers.get(&streamer).map(StreamerId) {
-                        let (id, word) = (RequestId(id), rtsp::release(RequestId(id)));
-                        self.parts.streamers.word(&mut self.shared, at, word, Some(id));
+                        let (id, message) = (RequestId(id), rtsp::release(RequestId(id)));
+                        self.parts.streamers.word(&mut self.shared, at, message, Some(id));
                     }
                 }
-                Deed::Yield(id) => self.shared.inputs.push(Input::ViewerLeft(NOBODY, RequestId(id))),
-                Deed::Cut(id, _) => {
+                Action::EndForReturn(id) => {
+                    self.shared.inputs.push(Input::ViewerLeft(NO_LINK, RequestId(id)))
+                }
+                Action::Release(id, _) => {
                     let shared = &mut self.shared;
                     let bytes = crate::platform::viewer::release(
                         RequestId(id),
                         crate::platform::viewer::CAUSE_FAILED,
                     );
-                    self.parts.viewers.release(shared, NOBODY, bytes);
+                    self.parts.viewers.release(shared, NO_LINK, bytes);
                 }
-                Deed::LayDown(ids) => {
+                Action::Forget(ids) => {
                     let ids = ids.into_iter().map(RequestId).collect();
                     self.shared.inputs.push(Input::LaidDown(ids));
                 }
-                Deed::Stray(id, streamer, what) => self.strayed(RequestId(id), &streamer, what),
-                Deed::Tell(news) => tell(&self.shared, &news),
-                Deed::Send(..) | Deed::Order(_) | Deed::Confirm => {} // gathered before
+                Action::MisroutedEnd(id, streamer, what) => {
+                    self.apply_misrouted_end(RequestId(id), &streamer, what)
+                }
+                Action::Log(news) => log_event(&self.shared, &news),
+                Action::Send(..) | Action::Propose(_) | Action::ConfirmLeadership => {} // gathered before
             }
         }
     }
 
     /// An inherited session enters the core as what is handed over at a start.
     fn adopt(&mut self, id: u64, record: &Record) {
-        let stub = &record.stub;
+        let summary = &record.summary;
         let wanted = NamedRequest {
             id,
-            class: &stub.class,
+            class: &summary.class,
             tenant: None,
-            title: &stub.title,
-            viewer: &stub.viewer,
-            start_cell: stub.home,
-            cells_in_row: stub.copies,
-            max_rung: stub.top.map(|top| top as usize),
+            title: &summary.title,
+            viewer: &summary.viewer,
+            start_cell: summary.start_cell,
+            cells_in_row: summary.cells_in_row,
+            max_rung: summary.max_rung.map(|top| top as usize),
             left_us: 0,
             returned: false,
         };
@@ -257,7 +270,7 @@
             Ok(request) => {
                 let streamer = StreamerId(self.names.streamers.get(&record.streamer).unwrap_or(u32::MAX));
                 self.director.set_inherited_rungs(vec![(request.id, usize::from(record.rung))]);
-                self.shared.inputs.push(Input::Playing { link: NOBODY, request, streamer });
+                self.shared.inputs.push(Input::Playing { link: NO_LINK, request, streamer });
             }
             Err(why) => {
                 warn!(self.shared.log, "an inherited session can't be taken: {why}; do all directors \
@@ -267,12 +280,12 @@
     }
 
     /// Another director heard something on a session of this one.
-    fn strayed(&mut self, session: RequestId, streamer: &str, what: StrayKind) {
+    fn apply_misrouted_end(&mut self, session: RequestId, streamer: &str, what: EndKind) {
         let Some(streamer) = self.names.streamers.get(streamer).map(StreamerId) else { return };
         let why = match what {
-            StrayKind::Left => return self.shared.inputs.push(Input::ViewerLeft(NOBODY, session)),
-            StrayKind::Ended => SessionEnd::Ended,
-            StrayKind::Cut => SessionEnd::Cut,
+            EndKind::Left => return self.shared.inputs.push(Input::ViewerLeft(NO_LINK, session)),
+            EndKind::Ended => SessionEnd::Ended,
+            EndKind::Cut => SessionEnd::Cut,
         };
         let (description, report) = (Vec::new(), LoadReport::default());
         let released = Input::Released { streamer, session, number: None, why, description, report };
@@ -281,23 +294,23 @@
 }
 
 /// One line for what has changed; the keys are stable, see docs/operators/continuity.md.
-fn tell(shared: &Shared, news: &News) {
+fn log_event(shared: &Shared, news: &LogEvent) {
     let (log, now) = (&shared.log, shared.now);
     let hex = |id: &u64| format!("{id:016x}");
     match news {
-        News::Leased(life) => info!(log, "estate: leased"; "at_us" => now, "life" => life),
-        News::Lapsed(sessions) => {
+        LogEvent::LeaseAcquired(life) => info!(log, "estate: leased"; "at_us" => now, "life" => life),
+        LogEvent::LeaseExpired(sessions) => {
             warn!(log, "estate: the lease ran out, its sessions are not acted on"; "at_us" => now,
                 "sessions" => sessions);
         }
-        News::LaidDown(life, sessions) => {
+        LogEvent::HandedOver(life, sessions) => {
             warn!(log, "estate: laid down, it is another's"; "at_us" => now, "life" => life,
                 "sessions" => sessions);
         }
-        News::TakesOver(owner, life, epoch) => info!(log, "estate: takes over"; "at_us" => now,
+        LogEvent::TakeoverStarted(owner, life, epoch) => info!(log, "estate: takes over"; "at_us" => now,
             "owner" => owner, "life" => life, "epoch" => epoch),
-        News::TookOver { owner, epoch, sessions, out, whole } => {
-            let kept = match whole {
+        LogEvent::TakeoverDone { owner, epoch, sessions, out, complete } => {
+            let kept = match complete {
                 Some(true) => "all",
                 Some(false) => "some",
                 None => "nothing",
@@ -305,17 +318,19 @@
             info!(log, "estate: taken over"; "at_us" => now, "owner" => owner, "epoch" => epoch,
                 "sessions" => sessions, "out" => out, "kept" => kept);
         }
-        News::Keepers(names) => {
+        LogEvent::ReplicasChosen(names) => {
             info!(log, "estate: keepers"; "at_us" => now, "keepers" => names.join(" "));
         }
-        News::Lags(name) => {
+        LogEvent::ReplicaLags(name) => {
             warn!(log, "estate: a keeper lags, another is asked"; "at_us" => now, "keeper" => name);
         }
-        News::Reigns(reign) => info!(log, "estate: gives leases"; "at_us" => now, "reign" => reign),
-        News::Closes(name, life) => info!(log, "estate: closes a life"; "at_us" => now, "owner" => name,
+        LogEvent::GrantorTermStarted(grantor_term) => {
+            info!(log, "estate: gives leases"; "at_us" => now, "reign" => grantor_term)
+        }
+        LogEvent::Closing(name, life) => info!(log, "estate: closes a life"; "at_us" => now, "owner" => name,
             "life" => life),
-        News::Settled(id) => debug!(log, "estate: an attempt is settled"; "session" => hex(id)),
-        News::Unsettled(id) => {
+        LogEvent::EndConfirmed(id) => debug!(log, "estate: an attempt is settled"; "session" => hex(id)),
+        LogEvent::EndUnconfirmed(id) => {
             warn!(log, "estate: an attempt can't be settled, its streamer does not answer"; "at_us" => now,
                 "session" => hex(id));
         }
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -9,7 +9,7 @@
 use slog::{debug, warn};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use stonewharf_continuity::Stub;
+use stonewharf_continuity::RequestSummary;
 use stonewharf_rollout::SharedDrains;
 
 /// Times the longest deadline that a viewer's own may be, so that none is kept for ever.
@@ -64,13 +64,13 @@
             self.inherit();
         } else {
             let top = set_up.top.and_then(|top| u32::try_from(top).ok());
-            self.estate_wanted(set_up.session, || Stub {
+            self.continuity_note_request(set_up.session, || RequestSummary {
                 class: set_up.class.clone(),
                 title: set_up.title.clone(),
                 viewer: set_up.viewer.clone(),
-                home: set_up.home,
-                copies: set_up.copies,
-                top,
+                start_cell: set_up.home,
+                cells_in_row: set_up.copies,
+                max_rung: top,
             });
         }
         self.shared.inputs.push(match &set_up.at {
@@ -104,7 +104,7 @@
             let lately = (self.shared.now / 1_000).saturating_sub(LATELY_MS) * 1_000;
             let anew = |e: &Entry| e.standing == Standing::Gone || e.started_at.is_some_and(|at| at > lately);
             let listed: Vec<_> = entries.iter().map(|(e, _)| (e.streamer, anew(e))).collect();
-            self.estate_listed(self.shared.now, &listed);
+            self.continuity_streamers_listed(self.shared.now, &listed);
         }
         self.parts.streamers.list(&mut self.shared, scope, &entries);
         for (entry, _) in entries.iter().filter(|e| e.0.standing == Standing::Gone) {
--- a/src/net/lives.rs
+++ b/src/net/lives.rs
@@ -8,7 +8,7 @@
 const FILE: &str = "fleet-life";
 
 /// The number of a life that begins at a Unix time; with a folder, it is kept there before it is used.
-pub fn next(folder: Option<&Path>, unix_us: u64) -> io::Result<u64> {
+pub fn next_incarnation(folder: Option<&Path>, unix_us: u64) -> io::Result<u64> {
     let Some(folder) = folder else { return Ok(unix_us) };
     fs::create_dir_all(folder)?;
     let path = folder.join(FILE);
@@ -35,13 +35,13 @@
     fn a_life_is_later_than_the_last_also_if_the_clock_went_back() {
         let folder = std::env::temp_dir().join(format!("stonewharf-lives-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
-        assert_eq!(next(None, 5).expect("no folder"), 5);
-        assert_eq!(next(Some(&folder), 1_000).expect("kept"), 1_000);
-        assert_eq!(next(Some(&folder), 10).expect("kept"), 1_001);
+        assert_eq!(next_incarnation(None, 5).expect("no folder"), 5);
+        assert_eq!(next_incarnation(Some(&folder), 1_000).expect("kept"), 1_000);
+        assert_eq!(next_incarnation(Some(&folder), 10).expect("kept"), 1_001);
         fs::write(folder.join(FILE), "no number").expect("written");
-        assert_eq!(next(Some(&folder), 20).expect("by the clock"), 20);
+        assert_eq!(next_incarnation(Some(&folder), 20).expect("by the clock"), 20);
         fs::write(folder.join("file"), "").expect("written");
-        assert!(next(Some(&folder.join("file")), 30).is_err(), "a file is no folder");
+        assert!(next_incarnation(Some(&folder.join("file")), 30).is_err(), "a file is no folder");
         let _ = fs::remove_dir_all(&folder);
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -136,7 +136,7 @@
                 break;
             }
             let mut inputs = std::mem::take(&mut self.shared.inputs);
-            self.estate_inputs(&mut inputs);
+            self.continuity_inputs(&mut inputs);
             for input in inputs.iter().filter(|_| self.tracing).filter_map(trace::input) {
                 trace!(self.shared.log, "in"; "input" => input);
             }
@@ -145,7 +145,7 @@
             for deed in deeds.iter().filter(|_| self.tracing).filter_map(trace::deed) {
                 trace!(self.shared.log, "out"; "deed" => deed);
             }
-            self.estate_words();
+            self.continuity_send();
             deeds.into_iter().for_each(|deed| self.carry_out(deed));
         }
         self.parts.streamers.flush(&mut self.shared);
@@ -155,7 +155,7 @@
         {
             self.leave();
         }
-        self.estate_deeds();
+        self.continuity_actions();
         self.advance_end();
         Ok(())
     }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -1,5 +1,5 @@
 //! What all parts of the loop work with in a turn.
-use super::hand::Leave;
+use super::hand::ActPermission;
 use super::poll::{Poll, Token};
 use crate::director::{self, Attempt, Counters, Deadlines, Input, ViewerLink};
 use crate::interface::{Micros, RequestId};
@@ -73,7 +73,7 @@
     pub now: Micros,
     /// What is asked, as bytes go out, of sessions that may be another director's by then; none where
     /// sessions end with their director.
-    pub leave: Option<Leave>,
+    pub leave: Option<ActPermission>,
 }
 
 impl Shared {
