--- a/crates/continuity/src/command.rs
+++ b/crates/continuity/src/command.rs
@@ -10,7 +10,8 @@
         /// Who.
         name: String,
         /// Which life of it.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
     /// These keep an estate from here on.
     #[serde(rename = "Keepers")]
@@ -18,7 +19,8 @@
         /// Whose.
         name: String,
         /// Which life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Who.
         #[serde(rename = "keepers")]
         replicas: Vec<String>,
@@ -31,7 +33,8 @@
         /// Whose.
         name: String,
         /// Which life, with all before it.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Who takes its sessions, by equal parts; none: somebody later.
         #[serde(rename = "heirs")]
         successors: Vec<DirectorId>,
@@ -44,7 +47,8 @@
         /// Who.
         name: String,
         /// Which life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Parts in which its sessions are taken; by whom, the giver finds.
         parts: u32,
     },
@@ -77,7 +81,8 @@
     /// Its name.
     pub name: String,
     /// Its life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// Why a command changed nothing.
--- a/crates/continuity/src/coordinator/end_sessions.rs
+++ b/crates/continuity/src/coordinator/end_sessions.rs
@@ -8,7 +8,7 @@
     /// A viewer came again elsewhere, and this session of it is to be ended first.
     pub(super) fn end_for_returning_viewer(&mut self, held: &RegisteredSession) {
         let id = held.id;
-        let own = (held.owner.as_str(), held.life) == (self.me.name.as_str(), self.own.life());
+        let own = (held.owner.as_str(), held.incarnation) == (self.me.name.as_str(), self.own.incarnation());
         match self.record(id).map(|r| (r.stage, r.streamer.clone())) {
             _ if self.ending.contains_key(&id) => {}
             // Of its own it knows that nothing runs.
@@ -31,9 +31,11 @@
 
     /// Whether a session is of an estate, or a part of one, that this director took over.
     fn took_over(&self, held: &RegisteredSession) -> bool {
-        let (name, life) = (&self.me.name, self.own.life());
-        let takeover = self.ownership.takeover_of(&held.owner, held.life, held.id).filter(|t| t.done);
-        takeover.and_then(|t| t.successor.as_ref()).is_some_and(|h| (&h.name, h.life) == (name, life))
+        let (name, incarnation) = (&self.me.name, self.own.incarnation());
+        let takeover = self.ownership.takeover_of(&held.owner, held.incarnation, held.id).filter(|t| t.done);
+        takeover
+            .and_then(|t| t.successor.as_ref())
+            .is_some_and(|h| (&h.name, h.incarnation) == (name, incarnation))
     }
 
     /// Has a session ended at its streamer, until that is proven.
--- a/crates/continuity/src/coordinator/lease.rs
+++ b/crates/continuity/src/coordinator/lease.rs
@@ -15,7 +15,7 @@
         for (id, record) in std::mem::take(&mut self.unleased) {
             self.own.change(id, Some(record));
         }
-        self.actions.push(Action::Log(LogEvent::LeaseAcquired(self.own.life())));
+        self.actions.push(Action::Log(LogEvent::LeaseAcquired(self.own.incarnation())));
         self.choose_replicas();
     }
 
@@ -28,18 +28,18 @@
 
     /// Its life is closed: what was kept under it is another's. What began since is a new estate.
     pub(super) fn abandon_sessions(&mut self) {
-        let (life, mut ids) = (self.own.life(), Vec::new());
+        let (incarnation, mut ids) = (self.own.incarnation(), Vec::new());
         for id in self.own.records().keys().copied().collect::<Vec<_>>() {
             self.ending.remove(&id);
             self.blocked.insert(id, self.now);
             ids.push(id);
         }
         self.takeover_tasks.clear();
-        self.own = OwnSessions::new(self.now.max(life + 1));
+        self.own = OwnSessions::new(self.now.max(incarnation + 1));
         self.holder.relinquish(self.now);
         // What it still takes as it leaves is a new estate, kept and left like any other.
         (self.leased, self.leaving) = (false, None);
-        self.actions.push(Action::Log(LogEvent::HandedOver(life, ids.len())));
+        self.actions.push(Action::Log(LogEvent::HandedOver(incarnation, ids.len())));
         self.registry.abandon_sessions(&ids);
         self.actions.push(Action::Forget(ids));
         self.with_registry(|registry, context, out| registry.reregister(context, true, out));
@@ -70,12 +70,12 @@
 
     pub(super) fn hand_over(&mut self) {
         let Some(since) = self.leaving else { return };
-        let (life, waited) = (self.own.life(), self.now.saturating_sub(since));
-        let known = self.ownership.replicas.contains_key(&(self.me.name.clone(), life));
+        let (incarnation, waited) = (self.own.incarnation(), self.now.saturating_sub(since));
+        let known = self.ownership.replicas.contains_key(&(self.me.name.clone(), incarnation));
         if known && (self.own.unreplicated() == 0 || waited >= HAND_OVER_TIMEOUT_US) {
             let parts = self.own.records().len().div_ceil(self.set.sessions_per_successor).max(1) as u32;
             let name = self.me.name.clone();
-            self.propose(format!("down {life}"), Command::HandOver { name, life, parts });
+            self.propose(format!("down {incarnation}"), Command::HandOver { name, incarnation, parts });
         }
     }
 
@@ -90,13 +90,13 @@
 
     /// Who keeps the estate is agreed, so that heirs find it.
     pub(super) fn propose_replicas(&mut self) {
-        let (life, replicas) = (self.own.life(), self.own.replicas());
-        let known = self.ownership.replicas.get(&(self.me.name.clone(), life));
+        let (incarnation, replicas) = (self.own.incarnation(), self.own.replicas());
+        let known = self.ownership.replicas.get(&(self.me.name.clone(), incarnation));
         if self.leased && !replicas.is_empty() && known != Some(&replicas) {
             let name = self.me.name.clone();
             self.propose(
-                format!("keepers {life} {}", replicas.join(" ")),
-                Command::SetReplicas { name, life, replicas },
+                format!("keepers {incarnation} {}", replicas.join(" ")),
+                Command::SetReplicas { name, incarnation, replicas },
             );
         }
     }
--- a/crates/continuity/src/coordinator/mod.rs
+++ b/crates/continuity/src/coordinator/mod.rs
@@ -12,7 +12,7 @@
 use crate::own_sessions::OwnSessions;
 use crate::ownership::OwnershipState;
 use crate::record::{Id, Record, RequestSummary};
-use crate::registry::{PaidSessionRegistry, REGISTRATION_US, RegistryContext};
+use crate::registry::{Outbox, PaidSessionRegistry, REGISTRATION_US, RegistryContext};
 use crate::replica::ReplicaStore;
 use crate::settings::ContinuitySettings;
 use crate::takeover::{Page, TakeoverTask};
@@ -206,21 +206,21 @@
     }
 
     pub(crate) fn context(&self) -> (Micros, String, u64) {
-        (self.now, self.me.name.clone(), self.own.life())
+        (self.now, self.me.name.clone(), self.own.incarnation())
     }
 
     /// Hands the claims what they work with, and takes what they say.
     pub(crate) fn with_registry<T>(
         &mut self,
-        act: impl FnOnce(&mut PaidSessionRegistry, &RegistryContext<'_>, &mut Vec<(String, Message)>) -> T,
+        act: impl FnOnce(&mut PaidSessionRegistry, &RegistryContext<'_>, &mut Outbox) -> T,
     ) -> T {
-        let (now, name, life) = self.context();
+        let (now, name, incarnation) = self.context();
         let mut out = Vec::new();
         let (members, earlier_views, ownership) = (&self.members, &self.earlier_views, &self.ownership);
         let (loss_views, lost_at) = (&self.loss_views, &self.lost_at);
         let context = RegistryContext {
             now,
-            me: (&name, life),
+            me: (&name, incarnation),
             members,
             earlier_views,
             loss_views,
@@ -258,33 +258,38 @@
     pub fn receive(&mut self, now: Micros, from: &str, message: Message) {
         self.now = self.now.max(now);
         match message {
-            Message::LeaseRequest { life, number, sessions } => {
-                self.lease_requested(from, life, number, sessions)
+            Message::LeaseRequest { incarnation, number, sessions } => {
+                self.lease_requested(from, incarnation, number, sessions)
             }
-            Message::LeaseGrant { life, number } if life == self.own.life() && self.leaving.is_none() => {
+            Message::LeaseGrant { incarnation, number }
+                if incarnation == self.own.incarnation() && self.leaving.is_none() =>
+            {
                 self.holder.apply_grant(number);
                 self.check_lease_start();
             }
-            Message::Replicate { life, run, seq, complete, changes } => {
-                if !self.ownership.is_closed(from, life) {
-                    let answer = self.replica_store.apply_batch(from, life, (run, seq), complete, changes);
+            Message::Replicate { incarnation, run, seq, complete, changes } => {
+                if !self.ownership.is_closed(from, incarnation) {
+                    let answer =
+                        self.replica_store.apply_batch(from, incarnation, (run, seq), complete, changes);
                     self.actions.extend(answer.map(|message| Action::Send(from.to_owned(), message)));
                 }
             }
-            Message::ReplicaAck { life, run, seq } => self.own.acknowledged(from, life, run, seq),
-            Message::ReplicaGap { life, run } => self.own.restart_replica(from, life, run),
-            Message::FetchReplica { owner, life, part, of, behind } => {
+            Message::ReplicaAck { incarnation, run, seq } => {
+                self.own.acknowledged(from, incarnation, run, seq)
+            }
+            Message::ReplicaGap { incarnation, run } => self.own.restart_replica(from, incarnation, run),
+            Message::FetchReplica { owner, incarnation, part, of, behind } => {
                 // Only of what is closed, so that nothing changes any more while it is read.
-                if self.ownership.is_closed(&owner, life) {
-                    let page = self.replica_store.page(&owner, life, part, of, behind);
+                if self.ownership.is_closed(&owner, incarnation) {
+                    let page = self.replica_store.page(&owner, incarnation, part, of, behind);
                     self.send(from, page);
                 }
             }
-            Message::ReplicaPage { owner, life, part, behind, kept, records, more } => {
+            Message::ReplicaPage { owner, incarnation, part, behind, kept, records, more } => {
                 let page = Page { behind, kept, records, more };
                 let of = |a: &&mut (TakeoverTask, Option<bool>)| {
                     let t = &a.0.takeover;
-                    t.owner == owner && t.life == life && t.part == part
+                    t.owner == owner && t.incarnation == incarnation && t.part == part
                 };
                 if let Some((task, _)) = self.takeover_tasks.values_mut().find(of) {
                     task.page(self.now, from, page);
@@ -326,16 +331,17 @@
         if self.leaving.is_none()
             && let Some(number) = self.holder.poll_request(now)
         {
-            let life = self.own.life();
+            let incarnation = self.own.incarnation();
             let sessions = u32::try_from(self.own.records().len()).unwrap_or(u32::MAX);
             if let Some(grantor) = self.ownership.grantor.clone() {
-                self.send(&grantor.name, Message::LeaseRequest { life, number, sessions });
+                self.send(&grantor.name, Message::LeaseRequest { incarnation, number, sessions });
             }
         }
         if self.next_check_at <= now {
             self.next_check_at = now.saturating_add(CHECK_INTERVAL_US);
             // Who inherits marks anew what the lost can't: former views count until that is done.
-            let lost = self.ownership.replicas.keys().any(|(name, life)| self.is_lost(name, *life));
+            let lost =
+                self.ownership.replicas.keys().any(|(name, incarnation)| self.is_lost(name, *incarnation));
             if !lost && self.ownership.takeovers.values().all(|t| t.done) {
                 self.earlier_views.retain(|(at, _)| at.saturating_add(REGISTRATION_US) > now);
             }
@@ -378,8 +384,8 @@
     }
 
     /// Takes a question for a lease.
-    fn lease_requested(&mut self, from: &str, life: u64, number: u64, sessions: u32) {
-        self.session_counts.insert(from.to_owned(), (life, sessions as usize));
-        self.grantor.request(LeaseRequest { name: from.to_owned(), life, number });
+    fn lease_requested(&mut self, from: &str, incarnation: u64, number: u64, sessions: u32) {
+        self.session_counts.insert(from.to_owned(), (incarnation, sessions as usize));
+        self.grantor.request(LeaseRequest { name: from.to_owned(), incarnation, number });
     }
 }
--- a/crates/continuity/src/coordinator/observe.rs
+++ b/crates/continuity/src/coordinator/observe.rs
@@ -72,10 +72,10 @@
         let before: BTreeSet<u64> =
             self.ownership.takeovers.iter().filter(|(_, t)| done(t)).map(|(epoch, _)| *epoch).collect();
         self.ownership = ownership.clone();
-        for (name, life) in &self.ownership.closed {
-            self.grantor.mark_closed(name, *life);
+        for (name, incarnation) in &self.ownership.closed {
+            self.grantor.mark_closed(name, *incarnation);
         }
-        if self.ownership.is_closed(&self.me.name, self.own.life()) {
+        if self.ownership.is_closed(&self.me.name, self.own.incarnation()) {
             self.abandon_sessions();
         }
         self.update_takeovers();
@@ -84,12 +84,15 @@
             fresh.filter_map(|(_, t)| t.successor.as_ref().map(|h| h.name.clone())).collect();
         successors.into_iter().for_each(|successor| self.forward_misrouted_ends(&successor));
         // What is done needs no keeping; what waits for its heir does.
-        let lives: Vec<(String, u64)> =
-            self.replica_store.lives().map(|(name, life)| (name.to_owned(), life)).collect();
-        for (name, life) in lives {
-            let open = |t: &Takeover| t.owner == name && t.life == life && !t.done;
-            if self.ownership.is_closed(&name, life) && !self.ownership.takeovers.values().any(open) {
-                self.replica_store.forget(&name, life);
+        let incarnations: Vec<(String, u64)> = self
+            .replica_store
+            .incarnations()
+            .map(|(name, incarnation)| (name.to_owned(), incarnation))
+            .collect();
+        for (name, incarnation) in incarnations {
+            let open = |t: &Takeover| t.owner == name && t.incarnation == incarnation && !t.done;
+            if self.ownership.is_closed(&name, incarnation) && !self.ownership.takeovers.values().any(open) {
+                self.replica_store.forget(&name, incarnation);
             }
         }
         self.check_grantor();
--- a/crates/continuity/src/coordinator/successor.rs
+++ b/crates/continuity/src/coordinator/successor.rs
@@ -8,8 +8,9 @@
 impl Coordinator {
     /// Takes up what is agreed of takeovers that are this director's.
     pub(super) fn update_takeovers(&mut self) {
-        let me = (self.me.name.clone(), self.own.life());
-        let mine = |t: &Takeover| t.successor.as_ref().is_some_and(|h| (&h.name, h.life) == (&me.0, me.1));
+        let me = (self.me.name.clone(), self.own.incarnation());
+        let mine =
+            |t: &Takeover| t.successor.as_ref().is_some_and(|h| (&h.name, h.incarnation) == (&me.0, me.1));
         let now = self.now;
         let begun: Vec<u64> = self.takeover_tasks.keys().copied().collect();
         for epoch in begun {
@@ -29,7 +30,7 @@
             .map(|(epoch, t)| (*epoch, t.clone()))
             .collect();
         for (epoch, t) in fresh {
-            self.actions.push(Action::Log(LogEvent::TakeoverStarted(t.owner.clone(), t.life, epoch)));
+            self.actions.push(Action::Log(LogEvent::TakeoverStarted(t.owner.clone(), t.incarnation, epoch)));
             self.takeover_tasks.insert(epoch, (TakeoverTask::new(now, t), None));
         }
     }
@@ -59,7 +60,8 @@
                     }
                 }
                 Next::Report => {
-                    let successor = DirectorId { name: self.me.name.clone(), life: self.own.life() };
+                    let successor =
+                        DirectorId { name: self.me.name.clone(), incarnation: self.own.incarnation() };
                     self.proposed_at.remove(&format!("done {epoch}"));
                     self.propose(format!("done {epoch}"), Command::Complete { epoch, successor });
                 }
--- a/crates/continuity/src/grantor.rs
+++ b/crates/continuity/src/grantor.rs
@@ -31,13 +31,16 @@
             return self.grantor.confirmation_failed();
         }
         for grant in self.grantor.confirmation_succeeded(self.now) {
-            self.send(&grant.name, Message::LeaseGrant { life: grant.life, number: grant.number });
+            self.send(
+                &grant.name,
+                Message::LeaseGrant { incarnation: grant.incarnation, number: grant.number },
+            );
         }
     }
 
     fn is_grantor(&self) -> bool {
         let grantor = self.ownership.grantor.as_ref();
-        grantor.is_some_and(|g| g.name == self.me.name && g.life == self.me.incarnation)
+        grantor.is_some_and(|g| g.name == self.me.name && g.incarnation == self.me.incarnation)
     }
 
     /// What is agreed has changed: another may reign by now.
@@ -53,8 +56,8 @@
             return;
         }
         if !self.is_grantor() {
-            let (name, life) = (self.me.name.clone(), self.me.incarnation);
-            return self.propose("reign".into(), Command::BecomeGrantor { name, life });
+            let (name, incarnation) = (self.me.name.clone(), self.me.incarnation);
+            return self.propose("reign".into(), Command::BecomeGrantor { name, incarnation });
         }
         if self.grantor.term() != Some(self.ownership.grantor_term) {
             self.grantor.begin_term(self.now, self.ownership.grantor_term);
@@ -68,9 +71,9 @@
     }
 
     /// Whether the process of a life is gone, as the fleet sees it.
-    pub(crate) fn is_lost(&self, name: &str, life: u64) -> bool {
+    pub(crate) fn is_lost(&self, name: &str, incarnation: u64) -> bool {
         match self.members.iter().find(|m| m.name == name) {
-            Some(m) => !m.in_fleet || life < m.incarnation,
+            Some(m) => !m.in_fleet || incarnation < m.incarnation,
             None => false, // a fleet that is only being met
         }
     }
@@ -78,44 +81,47 @@
     /// Has lives closed that are gone and whose leases have run out.
     fn close_lost(&mut self) {
         let kept: Vec<(String, u64)> = self.ownership.replicas.keys().cloned().collect();
-        for (name, life) in kept {
-            let proposed = self.proposed.contains(&(name.clone(), life));
-            if !self.is_lost(&name, life) {
+        for (name, incarnation) in kept {
+            let proposed = self.proposed.contains(&(name.clone(), incarnation));
+            if !self.is_lost(&name, incarnation) {
                 if !proposed {
-                    self.grantor.cancel_close(&name, life);
+                    self.grantor.cancel_close(&name, incarnation);
                 }
                 continue;
             }
-            let close = self.grantor.try_close(self.now, &name, life);
+            let close = self.grantor.try_close(self.now, &name, incarnation);
             #[cfg(feature = "planted")]
             let close = match self.planted_fault {
                 Some(crate::coordinator::PlantedFault::CloseBeforeExpiry) => Ok(self.ownership.grantor_term),
                 _ => close,
             };
             let Ok(grantor_term) = close else { continue };
-            if self.proposed.insert((name.clone(), life)) {
-                self.actions.push(Action::Log(LogEvent::Closing(name.clone(), life)));
+            if self.proposed.insert((name.clone(), incarnation)) {
+                self.actions.push(Action::Log(LogEvent::Closing(name.clone(), incarnation)));
             }
-            let size = self.session_counts.get(&name).filter(|(of, _)| *of == life).map(|(_, size)| *size);
-            let successors = self.successors(&name, life, size);
+            let size =
+                self.session_counts.get(&name).filter(|(of, _)| *of == incarnation).map(|(_, size)| *size);
+            let successors = self.successors(&name, incarnation, size);
             let parts = successors.len() as u32;
             self.propose(
-                format!("close {name} {life}"),
-                Command::Close { grantor_term, name, life, successors, parts },
+                format!("close {name} {incarnation}"),
+                Command::Close { grantor_term, name, incarnation, successors, parts },
             );
         }
     }
 
     /// Who takes an estate: its keepers first, who have it already, then those of its hall.
-    fn successors(&self, owner: &str, life: u64, size: Option<usize>) -> Vec<DirectorId> {
-        let replicas = self.ownership.replicas.get(&(owner.to_owned(), life));
+    fn successors(&self, owner: &str, incarnation: u64, size: Option<usize>) -> Vec<DirectorId> {
+        let replicas = self.ownership.replicas.get(&(owner.to_owned(), incarnation));
         let keeps = |m: &Member| replicas.is_some_and(|k| k.contains(&m.name));
         let hall = self.members.iter().find(|m| m.name == owner).map(|m| m.hall.clone());
         // Who has asked for a lease lately has an estate of its own to take it into.
         let mut able: Vec<(&Member, u64, usize)> = (self.members.iter())
             .filter(|m| m.serving && m.name != owner)
-            .filter_map(|m| self.session_counts.get(&m.name).map(|(life, size)| (m, *life, *size)))
-            .filter(|(m, life, _)| !self.ownership.is_closed(&m.name, *life))
+            .filter_map(|m| {
+                self.session_counts.get(&m.name).map(|(incarnation, size)| (m, *incarnation, *size))
+            })
+            .filter(|(m, incarnation, _)| !self.ownership.is_closed(&m.name, *incarnation))
             .collect();
         let many =
             size.map_or(SUCCESSORS_FOR_UNKNOWN_SIZE, |size| size.div_ceil(self.set.sessions_per_successor));
@@ -125,7 +131,8 @@
             let away = Some(&m.hall) != hall.as_ref();
             Reverse((!full, keeps(m), !away, rendezvous_weight(key, &m.name)))
         });
-        let successor = |(m, life, _): (&Member, u64, usize)| DirectorId { name: m.name.clone(), life };
+        let successor =
+            |(m, incarnation, _): (&Member, u64, usize)| DirectorId { name: m.name.clone(), incarnation };
         able.into_iter().take(many.clamp(1, MAX_SUCCESSORS)).map(successor).collect()
     }
 
@@ -138,7 +145,7 @@
             .map(|(epoch, t)| (epoch, t.owner.clone(), t.clone()))
             .collect();
         for (epoch, owner, takeover) in open {
-            let all = self.successors(&owner, takeover.life, Some(usize::MAX / 2));
+            let all = self.successors(&owner, takeover.incarnation, Some(usize::MAX / 2));
             let replica = all.iter().position(|h| takeover.replicas.contains(&h.name));
             // Parts of one estate go to different heirs.
             let at = match (takeover.of, replica) {
--- a/crates/continuity/src/member.rs
+++ b/crates/continuity/src/member.rs
@@ -37,8 +37,8 @@
 
 /// The same with the lives of their processes: one that was restarted knows nothing of before.
 pub fn register_incarnations(members: &[Member], key: u64) -> Vec<(String, u64)> {
-    let life = |name: &String| members.iter().find(|m| m.name == *name).map_or(0, |m| m.incarnation);
-    registers(members, key).into_iter().map(|name| (life(&name), name)).map(|(l, n)| (n, l)).collect()
+    let incarnation = |name: &String| members.iter().find(|m| m.name == *name).map_or(0, |m| m.incarnation);
+    registers(members, key).into_iter().map(|name| (incarnation(&name), name)).map(|(l, n)| (n, l)).collect()
 }
 
 #[cfg(test)]
--- a/crates/continuity/src/message.rs
+++ b/crates/continuity/src/message.rs
@@ -22,7 +22,8 @@
     #[serde(rename = "Ask")]
     LeaseRequest {
         /// The life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The question.
         number: u64,
         /// Sessions held.
@@ -32,7 +33,8 @@
     #[serde(rename = "Grant")]
     LeaseGrant {
         /// The life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The question.
         number: u64,
     },
@@ -40,7 +42,8 @@
     #[serde(rename = "Keep")]
     Replicate {
         /// The life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Numbers the owner's beginnings: a later one replaces what is kept.
         run: u64,
         /// Numbers the batches of a run, from 1.
@@ -55,7 +58,8 @@
     #[serde(rename = "Have")]
     ReplicaAck {
         /// The life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The run.
         run: u64,
         /// The last one.
@@ -65,7 +69,8 @@
     #[serde(rename = "Lacks")]
     ReplicaGap {
         /// The life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The run.
         run: u64,
     },
@@ -75,7 +80,8 @@
         /// Whose.
         owner: String,
         /// Which life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Which part of how many.
         part: u32,
         /// See `part`.
@@ -89,7 +95,8 @@
         /// Whose.
         owner: String,
         /// Which life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Which part.
         part: u32,
         /// Of which question.
@@ -117,7 +124,8 @@
         /// Which session.
         id: Id,
         /// The sender's life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Where it is set up.
         streamer: String,
     },
@@ -180,7 +188,8 @@
     /// Who marked it.
     pub owner: String,
     /// In which life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Where it is set up.
     pub streamer: String,
 }
@@ -250,12 +259,18 @@
             rung: 0,
             epoch: 0,
         };
-        let long =
-            Message::Replicate { life: 1, run: 1, seq: 1, complete: true, changes: vec![(1, Some(record))] };
+        let long = Message::Replicate {
+            incarnation: 1,
+            run: 1,
+            seq: 1,
+            complete: true,
+            changes: vec![(1, Some(record))],
+        };
         assert_eq!(Message::decode(&long.encode()), Err(UnreadableMessage));
-        let right = Message::Replicate { life: 1, run: 1, seq: 1, complete: true, changes: vec![(1, None)] };
+        let right =
+            Message::Replicate { incarnation: 1, run: 1, seq: 1, complete: true, changes: vec![(1, None)] };
         assert_eq!(Message::decode(&right.encode()), Ok(right.clone()));
-        let none = Message::Replicate { life: 1, run: 1, seq: 0, complete: true, changes: vec![] };
+        let none = Message::Replicate { incarnation: 1, run: 1, seq: 0, complete: true, changes: vec![] };
         assert_eq!(Message::decode(&none.encode()), Err(UnreadableMessage));
         assert_eq!(Message::decode(&right.encode()[..2]), Err(UnreadableMessage));
         assert_eq!(Message::decode(&vec![0; MAX_MESSAGE_BYTES + 1]), Err(UnreadableMessage));
--- a/crates/continuity/src/own_sessions.rs
+++ b/crates/continuity/src/own_sessions.rs
@@ -30,7 +30,7 @@
 /// An estate, at its owner.
 #[derive(Clone, Debug)]
 pub struct OwnSessions {
-    life: u64,
+    incarnation: u64,
     records: BTreeMap<Id, Record>,
     replicas: Vec<ReplicaProgress>,
     /// Beginnings so far.
@@ -39,13 +39,13 @@
 
 impl OwnSessions {
     /// An estate without sessions or keepers.
-    pub fn new(life: u64) -> OwnSessions {
-        OwnSessions { life, records: BTreeMap::new(), replicas: Vec::new(), runs: 0 }
+    pub fn new(incarnation: u64) -> OwnSessions {
+        OwnSessions { incarnation, records: BTreeMap::new(), replicas: Vec::new(), runs: 0 }
     }
 
     /// The life under which it is kept.
-    pub fn life(&self) -> u64 {
-        self.life
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// All sessions.
@@ -142,17 +142,20 @@
             // As it is by now: a batch is a set of states, and a later one replaces an earlier.
             let changes = ids.iter().map(|id| (*id, self.records.get(id).cloned())).collect();
             let complete = replica.dirty.is_empty();
-            let (life, run, seq) = (self.life, replica.run, replica.seq);
-            let message = Message::Replicate { life, run, seq, complete, changes };
+            let (incarnation, run, seq) = (self.incarnation, replica.run, replica.seq);
+            let message = Message::Replicate { incarnation, run, seq, complete, changes };
             messages.push((replica.name.clone(), message));
         }
         messages
     }
 
     /// A keeper has all batches up to one.
-    pub fn acknowledged(&mut self, from: &str, life: u64, run: u64, seq: u64) {
+    pub fn acknowledged(&mut self, from: &str, incarnation: u64, run: u64, seq: u64) {
         let last = |k: &&mut ReplicaProgress| k.name == from && (k.run, k.seq) == (run, seq);
-        let Some(replica) = self.replicas.iter_mut().find(last).filter(|_| life == self.life) else { return };
+        let Some(replica) = self.replicas.iter_mut().find(last).filter(|_| incarnation == self.incarnation)
+        else {
+            return;
+        };
         if replica.sent.take().is_some() {
             replica.complete |= replica.dirty.is_empty();
             replica.unacknowledged_since = None;
@@ -160,8 +163,8 @@
     }
 
     /// A keeper lacks what went before.
-    pub fn restart_replica(&mut self, from: &str, life: u64, run: u64) {
-        if life != self.life {
+    pub fn restart_replica(&mut self, from: &str, incarnation: u64, run: u64) {
+        if incarnation != self.incarnation {
             return;
         }
         if let Some(at) = self.replicas.iter().position(|k| k.name == from && k.run == run) {
@@ -225,13 +228,13 @@
                 arriving.swap(0, 1);
             }
             for message in arriving {
-                let Message::Replicate { life, run, seq, complete, changes } = message else {
+                let Message::Replicate { incarnation, run, seq, complete, changes } = message else {
                     panic!("{message:?}")
                 };
                 match below(5) {
                     0 if !fault_free => continue, // lost
                     1 if !fault_free => network.push(Message::Replicate {
-                        life,
+                        incarnation,
                         run,
                         seq,
                         complete,
@@ -239,11 +242,13 @@
                     }),
                     _ => {}
                 }
-                match store.apply_batch("d", life, (run, seq), complete, changes) {
-                    Some(Message::ReplicaAck { life, run, seq }) if fault_free || below(4) > 0 => {
-                        owner.acknowledged("k", life, run, seq);
+                match store.apply_batch("d", incarnation, (run, seq), complete, changes) {
+                    Some(Message::ReplicaAck { incarnation, run, seq }) if fault_free || below(4) > 0 => {
+                        owner.acknowledged("k", incarnation, run, seq);
+                    }
+                    Some(Message::ReplicaGap { incarnation, run }) => {
+                        owner.restart_replica("k", incarnation, run)
                     }
-                    Some(Message::ReplicaGap { life, run }) => owner.restart_replica("k", life, run),
                     _ => {}
                 }
             }
--- a/crates/continuity/src/ownership.rs
+++ b/crates/continuity/src/ownership.rs
@@ -19,7 +19,7 @@
 /// Heirs of one estate at most.
 pub const MAX_SUCCESSORS: usize = 64;
 /// Lives of one name that are not closed at most.
-const MAX_OPEN_LIVES: usize = 8;
+const MAX_OPEN_INCARNATIONS: usize = 8;
 /// Bytes of a name.
 const MAX_NAME_BYTES: usize = 64;
 
@@ -29,7 +29,8 @@
     /// Whose estate.
     pub owner: String,
     /// Of which life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Which part, of how many.
     pub part: u32,
     /// See `part`.
@@ -83,22 +84,28 @@
     pub fn take(&mut self, command: Command) -> Reply {
         let taken = match command {
             Command::BecomeGrantor { name, .. } if name.len() > MAX_NAME_BYTES => Err(Refusal::TooLong),
-            Command::BecomeGrantor { name, life } => {
-                let grantor = Some(DirectorId { name, life });
+            Command::BecomeGrantor { name, incarnation } => {
+                let grantor = Some(DirectorId { name, incarnation });
                 if self.grantor != grantor || self.grantor_term == 0 {
                     (self.grantor_term, self.grantor) = (self.grantor_term + 1, grantor);
                 }
                 self.version += 1;
                 return Reply::Grantor(self.grantor_term);
             }
-            Command::SetReplicas { name, life, replicas } => self.set_replicas(name, life, replicas),
+            Command::SetReplicas { name, incarnation, replicas } => {
+                self.set_replicas(name, incarnation, replicas)
+            }
             Command::Close { grantor_term, .. } | Command::AssignSuccessor { grantor_term, .. }
                 if grantor_term != self.grantor_term =>
             {
                 Err(Refusal::EarlierTerm)
             }
-            Command::Close { name, life, successors, parts, .. } => self.close(name, life, successors, parts),
-            Command::HandOver { name, life, parts } => self.close(name, life, Vec::new(), parts),
+            Command::Close { name, incarnation, successors, parts, .. } => {
+                self.close(name, incarnation, successors, parts)
+            }
+            Command::HandOver { name, incarnation, parts } => {
+                self.close(name, incarnation, Vec::new(), parts)
+            }
             Command::AssignSuccessor { epoch, successor, .. } => self.next(epoch, successor),
             Command::Complete { epoch, successor } => self.done(epoch, &successor),
         };
@@ -112,8 +119,8 @@
     }
 
     /// Whether a life is closed.
-    pub fn is_closed(&self, name: &str, life: u64) -> bool {
-        self.closed.get(name).is_some_and(|closed| *closed >= life)
+    pub fn is_closed(&self, name: &str, incarnation: u64) -> bool {
+        self.closed.get(name).is_some_and(|closed| *closed >= incarnation)
     }
 
     /// Takeovers that wait for an heir.
@@ -122,21 +129,21 @@
     }
 
     /// The takeover by which a session of a closed life went on.
-    pub fn takeover_of(&self, owner: &str, life: u64, id: Id) -> Option<&Takeover> {
-        let of = |t: &&Takeover| t.owner == owner && t.life == life && part(id, t.of) == t.part;
+    pub fn takeover_of(&self, owner: &str, incarnation: u64, id: Id) -> Option<&Takeover> {
+        let of = |t: &&Takeover| t.owner == owner && t.incarnation == incarnation && part(id, t.of) == t.part;
         self.takeovers.values().find(of)
     }
 
-    fn set_replicas(&mut self, name: String, life: u64, replicas: Vec<String>) -> Result<(), Refusal> {
+    fn set_replicas(&mut self, name: String, incarnation: u64, replicas: Vec<String>) -> Result<(), Refusal> {
         let long = replicas.iter().chain([&name]).any(|n| n.len() > MAX_NAME_BYTES) || replicas.len() > 8;
-        let lives = (name.clone(), 0)..=(name.clone(), u64::MAX);
-        let known = self.replicas.range(lives).count();
-        let key = (name, life);
+        let incarnations = (name.clone(), 0)..=(name.clone(), u64::MAX);
+        let known = self.replicas.range(incarnations).count();
+        let key = (name, incarnation);
         let fresh = !self.replicas.contains_key(&key);
-        if long || fresh && (known >= MAX_OPEN_LIVES || self.replicas.len() >= MAX_NAMES) {
+        if long || fresh && (known >= MAX_OPEN_INCARNATIONS || self.replicas.len() >= MAX_NAMES) {
             return Err(Refusal::TooLong);
         }
-        if self.is_closed(&key.0, life) {
+        if self.is_closed(&key.0, incarnation) {
             return Err(Refusal::Closed);
         }
         self.replicas.insert(key, replicas);
@@ -146,11 +153,11 @@
     fn close(
         &mut self,
         name: String,
-        life: u64,
+        incarnation: u64,
         successors: Vec<DirectorId>,
         parts: u32,
     ) -> Result<(), Refusal> {
-        if self.is_closed(&name, life) {
+        if self.is_closed(&name, incarnation) {
             return Err(Refusal::Closed);
         }
         let full = !self.closed.contains_key(&name) && self.closed.len() >= MAX_NAMES;
@@ -162,11 +169,12 @@
         {
             return Err(Refusal::TooLong);
         }
-        self.closed.insert(name.clone(), life);
+        self.closed.insert(name.clone(), incarnation);
         // What it was about to take goes to another, from the same records.
         let left: Vec<u64> = (self.takeovers.iter())
             .filter(|(_, t)| {
-                !t.done && t.successor.as_ref().is_some_and(|h| h.name == name && h.life <= life)
+                !t.done
+                    && t.successor.as_ref().is_some_and(|h| h.name == name && h.incarnation <= incarnation)
             })
             .map(|(epoch, _)| *epoch)
             .collect();
@@ -177,17 +185,18 @@
             }
         }
         // An estate that nobody kept has nothing to take.
-        let lives = (name.clone(), 0)..=(name.clone(), life);
-        let lives: Vec<u64> = self.replicas.range(lives).map(|((_, life), _)| *life).collect();
+        let incarnations = (name.clone(), 0)..=(name.clone(), incarnation);
+        let incarnations: Vec<u64> =
+            self.replicas.range(incarnations).map(|((_, incarnation), _)| *incarnation).collect();
         let successors: Vec<DirectorId> =
-            successors.into_iter().filter(|h| !self.is_closed(&h.name, h.life)).collect();
+            successors.into_iter().filter(|h| !self.is_closed(&h.name, h.incarnation)).collect();
         let of = (successors.len() as u32).max(parts.min(MAX_SUCCESSORS as u32)).max(1);
-        for life in lives {
-            let replicas = self.replicas.remove(&(name.clone(), life)).unwrap_or_default();
+        for incarnation in incarnations {
+            let replicas = self.replicas.remove(&(name.clone(), incarnation)).unwrap_or_default();
             for part in 0..of {
                 let successor = successors.get(part as usize).cloned();
                 let (owner, replicas) = (name.clone(), replicas.clone());
-                self.begin(Takeover { owner, life, part, of, replicas, successor, done: false });
+                self.begin(Takeover { owner, incarnation, part, of, replicas, successor, done: false });
             }
         }
         Ok(())
@@ -206,7 +215,7 @@
     }
 
     fn next(&mut self, epoch: u64, successor: DirectorId) -> Result<(), Refusal> {
-        if successor.name.len() > MAX_NAME_BYTES || self.is_closed(&successor.name, successor.life) {
+        if successor.name.len() > MAX_NAME_BYTES || self.is_closed(&successor.name, successor.incarnation) {
             return Err(Refusal::Closed);
         }
         let open = self.takeovers.get(&epoch).is_some_and(|t| t.successor.is_none());
@@ -235,15 +244,18 @@
 mod tests {
     use super::*;
 
-    fn successor(name: &str, life: u64) -> DirectorId {
-        DirectorId { name: name.into(), life }
+    fn successor(name: &str, incarnation: u64) -> DirectorId {
+        DirectorId { name: name.into(), incarnation }
     }
 
     fn with_estate() -> OwnershipState {
         let mut state = OwnershipState::default();
-        assert_eq!(state.take(Command::BecomeGrantor { name: "d0".into(), life: 1 }), Reply::Grantor(1));
+        assert_eq!(
+            state.take(Command::BecomeGrantor { name: "d0".into(), incarnation: 1 }),
+            Reply::Grantor(1)
+        );
         let replicas = vec!["d1".into(), "d2".into()];
-        state.take(Command::SetReplicas { name: "d3".into(), life: 5, replicas });
+        state.take(Command::SetReplicas { name: "d3".into(), incarnation: 5, replicas });
         state
     }
 
@@ -251,22 +263,25 @@
         state: &mut OwnershipState,
         grantor_term: u64,
         name: &str,
-        life: u64,
+        incarnation: u64,
         successors: Vec<DirectorId>,
     ) -> Reply {
-        state.take(Command::Close { grantor_term, name: name.into(), life, successors, parts: 1 })
+        state.take(Command::Close { grantor_term, name: name.into(), incarnation, successors, parts: 1 })
     }
 
     #[test]
     fn a_life_is_closed_once_and_only_by_who_reigns() {
         let mut state = with_estate();
-        assert_eq!(state.take(Command::BecomeGrantor { name: "d9".into(), life: 1 }), Reply::Grantor(2));
+        assert_eq!(
+            state.take(Command::BecomeGrantor { name: "d9".into(), incarnation: 1 }),
+            Reply::Grantor(2)
+        );
         let former = Reply::Refused(Refusal::EarlierTerm);
         assert_eq!(close(&mut state, 1, "d3", 5, vec![successor("d1", 1)]), former);
         assert_eq!(close(&mut state, 2, "d3", 5, vec![successor("d1", 1)]), Reply::Done);
         let closed = Reply::Refused(Refusal::Closed);
         assert_eq!(close(&mut state, 2, "d3", 5, vec![successor("d2", 1)]), closed);
-        let laid = Command::HandOver { name: "d3".into(), life: 5, parts: 1 };
+        let laid = Command::HandOver { name: "d3".into(), incarnation: 5, parts: 1 };
         assert_eq!(state.take(laid), closed);
         assert_eq!(state.takeovers.len(), 1);
         assert_eq!(
@@ -306,10 +321,13 @@
     fn each_life_of_a_name_that_is_closed_together_is_taken_over() {
         let mut state = with_estate();
         let replicas = vec!["d4".into()];
-        state.take(Command::SetReplicas { name: "d3".into(), life: 8, replicas });
-        assert_eq!(state.take(Command::HandOver { name: "d3".into(), life: 8, parts: 3 }), Reply::Done);
-        let lives: Vec<u64> = state.takeovers.values().map(|t| t.life).collect();
-        assert_eq!(lives, vec![5, 5, 5, 8, 8, 8]);
+        state.take(Command::SetReplicas { name: "d3".into(), incarnation: 8, replicas });
+        assert_eq!(
+            state.take(Command::HandOver { name: "d3".into(), incarnation: 8, parts: 3 }),
+            Reply::Done
+        );
+        let incarnations: Vec<u64> = state.takeovers.values().map(|t| t.incarnation).collect();
+        assert_eq!(incarnations, vec![5, 5, 5, 8, 8, 8]);
         assert!(state.replicas.is_empty() && state.without_successor().count() == 6);
     }
 
--- a/crates/continuity/src/registry.rs
+++ b/crates/continuity/src/registry.rs
@@ -30,6 +30,9 @@
 /// How long a viewer is told to stay away meanwhile, at least and at most.
 const HOLD_OFF_US: (Micros, Micros) = (150_000, 400_000);
 
+/// Messages to send, each with the name of its receiver.
+pub type Outbox = Vec<(String, Message)>;
+
 /// The number of a viewer and title.
 pub fn key(request: &Request) -> u64 {
     mix_bits(u64::from(request.viewer.0) << 32 | u64::from(request.title.0))
@@ -107,12 +110,16 @@
         id: Id,
         key: u64,
         streamer: &str,
-        out: &mut Vec<(String, Message)>,
+        out: &mut Outbox,
     ) {
         let at = register_incarnations(context.members, key);
         for (register, _) in &at {
-            let message =
-                Message::RegisterSession { key, id, life: context.me.1, streamer: streamer.to_owned() };
+            let message = Message::RegisterSession {
+                key,
+                id,
+                incarnation: context.me.1,
+                streamer: streamer.to_owned(),
+            };
             self.send(context, register, message, out);
         }
         self.own_sessions.insert(id, OwnPaidSession { key, streamer: streamer.to_owned(), at });
@@ -120,7 +127,7 @@
     }
 
     /// It is over, and proven to be.
-    pub fn session_over(&mut self, context: &RegistryContext<'_>, id: Id, out: &mut Vec<(String, Message)>) {
+    pub fn session_over(&mut self, context: &RegistryContext<'_>, id: Id, out: &mut Outbox) {
         if let Some(OwnPaidSession { key, at, .. }) = self.own_sessions.remove(&id) {
             for (register, _) in at {
                 self.send(context, &register, Message::UnregisterSession { key, id }, out);
@@ -142,7 +149,7 @@
     }
 
     /// The fleet has changed, or the estate's life: what the registers of today lack is marked there.
-    pub fn reregister(&mut self, context: &RegistryContext<'_>, all: bool, out: &mut Vec<(String, Message)>) {
+    pub fn reregister(&mut self, context: &RegistryContext<'_>, all: bool, out: &mut Outbox) {
         let ids: Vec<Id> = self.own_sessions.keys().copied().collect();
         for id in ids {
             let Some(OwnPaidSession { key, streamer, at: before }) = self.own_sessions.get(&id).cloned()
@@ -151,8 +158,12 @@
             };
             let at = register_incarnations(context.members, key);
             for (register, _) in at.iter().filter(|r| all || !before.contains(r)) {
-                let message =
-                    Message::RegisterSession { key, id, life: context.me.1, streamer: streamer.clone() };
+                let message = Message::RegisterSession {
+                    key,
+                    id,
+                    incarnation: context.me.1,
+                    streamer: streamer.clone(),
+                };
                 self.send(context, register, message, out);
             }
             self.own_sessions.insert(id, OwnPaidSession { key, streamer, at });
@@ -160,13 +171,7 @@
     }
 
     /// A register may be this director itself.
-    fn send(
-        &mut self,
-        context: &RegistryContext<'_>,
-        to: &str,
-        message: Message,
-        out: &mut Vec<(String, Message)>,
-    ) {
+    fn send(&mut self, context: &RegistryContext<'_>, to: &str, message: Message, out: &mut Outbox) {
         if to == context.me.0 {
             self.receive(context, to, &message, out);
         } else {
@@ -177,12 +182,7 @@
     // ---- Viewers who come again ---------------------------------------------------------------------------
 
     /// A viewer comes again for a paid title; true where it may be served.
-    pub fn viewer_returned(
-        &mut self,
-        context: &RegistryContext<'_>,
-        key: u64,
-        out: &mut Vec<(String, Message)>,
-    ) -> bool {
+    pub fn viewer_returned(&mut self, context: &RegistryContext<'_>, key: u64, out: &mut Outbox) -> bool {
         let now = context.now;
         if self.is_clear(now, key) {
             return true;
@@ -208,7 +208,7 @@
     }
 
     /// Puts the question to all registers, anew.
-    fn query_registers(&mut self, context: &RegistryContext<'_>, key: u64, out: &mut Vec<(String, Message)>) {
+    fn query_registers(&mut self, context: &RegistryContext<'_>, key: u64, out: &mut Outbox) {
         let Some(query) = self.queries.get_mut(&key) else { return };
         self.last_number += 1;
         let number = self.last_number;
@@ -235,7 +235,7 @@
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, context: &RegistryContext<'_>, out: &mut Vec<(String, Message)>) {
+    pub fn tick(&mut self, context: &RegistryContext<'_>, out: &mut Outbox) {
         let now = context.now;
         self.queries.retain(|_, a| a.since.saturating_add(QUERY_LIFETIME_US) > now);
         self.clearances.retain(|_, (until, _)| *until > now);
@@ -258,14 +258,14 @@
         context: &RegistryContext<'_>,
         from: &str,
         message: &Message,
-        out: &mut Vec<(String, Message)>,
+        out: &mut Outbox,
     ) -> Option<RegisteredSession> {
         match *message {
-            Message::RegisterSession { key, id, life, ref streamer } => {
+            Message::RegisterSession { key, id, incarnation, ref streamer } => {
                 if self.register.contains_key(&key) || self.register.len() < MAX_KEYS {
-                    let marked =
-                        RegisteredSession { id, owner: from.to_owned(), life, streamer: streamer.clone() };
-                    self.register.entry(key).or_default().insert(id, marked);
+                    let (owner, streamer) = (from.to_owned(), streamer.clone());
+                    let session = RegisteredSession { id, owner, incarnation, streamer };
+                    self.register.entry(key).or_default().insert(id, session);
                 }
                 self.reservations.retain(|k, reservation| *k != key || reservation.requester != from);
             }
@@ -328,7 +328,8 @@
             }
             Message::SessionEnded { key, id: RESERVATION_ID } => {
                 if let Some(query) = self.queries.get_mut(&key) {
-                    query.retry_at = context.now.saturating_add(RESEND_AFTER_US / 4); // the place has to be left first
+                    // The reservation has to be withdrawn first.
+                    query.retry_at = context.now.saturating_add(RESEND_AFTER_US / 4);
                 }
             }
             Message::SessionEnded { key, id } => {
@@ -367,7 +368,7 @@
     RegisteredSession {
         id: RESERVATION_ID,
         owner: requester.to_owned(),
-        life: u64::MAX,
+        incarnation: u64::MAX,
         streamer: String::new(),
     }
 }
@@ -375,14 +376,18 @@
 /// Who holds a session that somebody marked: that one, while its life is not closed, else its heir once that
 /// has it.
 fn holder(context: &RegistryContext<'_>, held: &RegisteredSession) -> Option<String> {
-    let (mut owner, mut life) = (held.owner.clone(), held.life);
+    let (mut owner, mut incarnation) = (held.owner.clone(), held.incarnation);
     for _ in 0..8 {
-        if !context.ownership.is_closed(&owner, life) {
+        if !context.ownership.is_closed(&owner, incarnation) {
             return Some(owner);
         }
-        let next =
-            context.ownership.takeover_of(&owner, life, held.id).filter(|t| t.done)?.successor.clone()?;
-        (owner, life) = (next.name, next.life);
+        let next = context
+            .ownership
+            .takeover_of(&owner, incarnation, held.id)
+            .filter(|t| t.done)?
+            .successor
+            .clone()?;
+        (owner, incarnation) = (next.name, next.incarnation);
     }
     None
 }
--- a/crates/continuity/src/replica.rs
+++ b/crates/continuity/src/replica.rs
@@ -40,21 +40,21 @@
     pub fn apply_batch(
         &mut self,
         owner: &str,
-        life: u64,
+        incarnation: u64,
         (run, seq): (u64, u64),
         complete: bool,
         changes: Vec<(Id, Option<Record>)>,
     ) -> Option<Message> {
-        let key = (owner.to_owned(), life);
+        let key = (owner.to_owned(), incarnation);
         let before = self.replicas.get(&key).map(|t| (t.run, t.seq));
         match before {
             Some((known, last)) if run < known || (run == known && seq <= last) => {
-                return Some(Message::ReplicaAck { life, run: known, seq: last });
+                return Some(Message::ReplicaAck { incarnation, run: known, seq: last });
             }
             Some((known, last)) if (run, seq) == (known, last + 1) => {}
             // This life begins anew; what is kept of a former one waits for its heir.
             _ if seq == 1 => self.remove_replica(&key),
-            _ => return Some(Message::ReplicaGap { life, run }),
+            _ => return Some(Message::ReplicaGap { incarnation, run }),
         }
         let fresh = !self.replicas.contains_key(&key);
         if fresh && self.replicas.len() >= MAX_REPLICAS || self.records + changes.len() > MAX_STORED_RECORDS {
@@ -70,17 +70,24 @@
         }
         (replica.run, replica.seq, replica.complete) = (run, seq, complete);
         self.records = self.records + replica.records.len() - count_before;
-        Some(Message::ReplicaAck { life, run, seq })
+        Some(Message::ReplicaAck { incarnation, run, seq })
     }
 
     /// What is kept of an estate.
-    pub fn replica(&self, owner: &str, life: u64) -> Option<&Replica> {
-        self.replicas.get(&(owner.to_owned(), life))
+    pub fn replica(&self, owner: &str, incarnation: u64) -> Option<&Replica> {
+        self.replicas.get(&(owner.to_owned(), incarnation))
     }
 
     /// Answers an heir's question.
-    pub fn page(&self, owner: &str, life: u64, wanted_part: u32, of: u32, behind: Option<Id>) -> Message {
-        let replica = self.replica(owner, life);
+    pub fn page(
+        &self,
+        owner: &str,
+        incarnation: u64,
+        wanted_part: u32,
+        of: u32,
+        behind: Option<Id>,
+    ) -> Message {
+        let replica = self.replica(owner, incarnation);
         let from = behind.map_or(Bound::Unbounded, Bound::Excluded);
         let mut records: Vec<(Id, Record)> = (replica.iter())
             .flat_map(|t| t.records.range((from, Bound::Unbounded)))
@@ -91,7 +98,15 @@
         let more = records.len() > MAX_RECORDS;
         records.truncate(MAX_RECORDS);
         let kept = replica.map(|t| (t.seq, t.complete));
-        Message::ReplicaPage { owner: owner.to_owned(), life, part: wanted_part, behind, kept, records, more }
+        Message::ReplicaPage {
+            owner: owner.to_owned(),
+            incarnation,
+            part: wanted_part,
+            behind,
+            kept,
+            records,
+            more,
+        }
     }
 
     fn remove_replica(&mut self, key: &(String, u64)) {
@@ -99,9 +114,9 @@
     }
 
     /// Nothing more is wanted of a life and those before it.
-    pub fn forget(&mut self, owner: &str, life: u64) {
-        let lives = (owner.to_owned(), 0)..=(owner.to_owned(), life);
-        let old: Vec<_> = self.replicas.range(lives).map(|(key, _)| key.clone()).collect();
+    pub fn forget(&mut self, owner: &str, incarnation: u64) {
+        let incarnations = (owner.to_owned(), 0)..=(owner.to_owned(), incarnation);
+        let old: Vec<_> = self.replicas.range(incarnations).map(|(key, _)| key.clone()).collect();
         old.iter().for_each(|key| self.remove_replica(key));
     }
 
@@ -111,8 +126,8 @@
     }
 
     /// Whose lives are kept.
-    pub fn lives(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.replicas.keys().map(|(owner, life)| (owner.as_str(), *life))
+    pub fn incarnations(&self) -> impl Iterator<Item = (&str, u64)> {
+        self.replicas.keys().map(|(owner, incarnation)| (owner.as_str(), *incarnation))
     }
 }
 
--- a/crates/continuity/src/takeover.rs
+++ b/crates/continuity/src/takeover.rs
@@ -136,9 +136,9 @@
                 continue;
             }
             from.asked_at = now;
-            let (owner, life) = (takeover.owner.clone(), takeover.life);
+            let (owner, incarnation) = (takeover.owner.clone(), takeover.incarnation);
             let (part, of, behind) = (takeover.part, takeover.of, from.behind);
-            messages.push((name.clone(), Message::FetchReplica { owner, life, part, of, behind }));
+            messages.push((name.clone(), Message::FetchReplica { owner, incarnation, part, of, behind }));
         }
         if messages.is_empty() { Next::Wait } else { Next::Ask(messages) }
     }
@@ -166,11 +166,11 @@
     fn takeover(replicas: &[&str]) -> Takeover {
         Takeover {
             owner: "d".into(),
-            life: 5,
+            incarnation: 5,
             part: 0,
             of: 1,
             replicas: replicas.iter().map(|k| (*k).to_owned()).collect(),
-            successor: Some(DirectorId { name: "h".into(), life: 1 }),
+            successor: Some(DirectorId { name: "h".into(), incarnation: 1 }),
             done: false,
         }
     }
--- a/crates/continuity/tests/world/mod.rs
+++ b/crates/continuity/tests/world/mod.rs
@@ -40,7 +40,7 @@
 
 pub struct Director {
     pub coordinator: SharedCoordinator,
-    life: u64,
+    incarnation: u64,
     runs: Runs,
     /// What the log held when it last heard of it.
     heard: u64,
@@ -93,9 +93,10 @@
     }
 }
 
-pub fn coordinator(i: usize, life: u64, now: Micros) -> SharedCoordinator {
+pub fn coordinator(i: usize, incarnation: u64, now: Micros) -> SharedCoordinator {
     let names = ["paid".to_owned(), "free".to_owned()];
-    let me = LocalDirector { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation: life };
+    let me =
+        LocalDirector { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation: incarnation };
     let set = ContinuitySettings { sessions_per_successor: 20, ..ContinuitySettings::default() };
     let mut coordinator = Coordinator::new(set, &settings(), &names, me, now);
     coordinator.set_streamer_names([(StreamerId(0), "s0".to_owned())]);
@@ -106,7 +107,7 @@
     pub fn new(seed: u64) -> Sim {
         let director = |i| Director {
             coordinator: coordinator(i, 1_000 + i as u64, SECOND),
-            life: 1_000 + i as u64,
+            incarnation: 1_000 + i as u64,
             runs: Runs::Yes,
             heard: 0,
             sessions: BTreeSet::new(),
@@ -175,7 +176,7 @@
                 Runs::Stopped(_) | Runs::Dead(_) => true,
             };
             let (name, hall) = (format!("d{j}"), ["a", "b"][j % 2].to_owned());
-            Member { name, hall, incarnation: self.directors[j].life, serving: !gone, in_fleet: !gone }
+            Member { name, hall, incarnation: self.directors[j].incarnation, serving: !gone, in_fleet: !gone }
         };
         (0..DIRECTORS).map(of).collect()
     }
@@ -213,10 +214,10 @@
             match self.directors[i].runs {
                 Runs::Stopped(until) if until <= self.now => self.directors[i].runs = Runs::Yes,
                 Runs::Dead(until) if until <= self.now => {
-                    let life = self.now;
+                    let incarnation = self.now;
                     self.directors[i] = Director {
-                        coordinator: coordinator(i, life, self.now),
-                        life,
+                        coordinator: coordinator(i, incarnation, self.now),
+                        incarnation,
                         runs: Runs::Yes,
                         heard: 0,
                         sessions: BTreeSet::new(),
@@ -259,27 +260,28 @@
 
     fn happen(&mut self, what: Event2) {
         match what {
-            Event2::Message(from, to, life, message) => {
-                if self.up(to) && !self.apart(from, to) && self.directors[from].life >= life {
+            Event2::Message(from, to, incarnation, message) => {
+                if self.up(to) && !self.apart(from, to) && self.directors[from].incarnation >= incarnation {
                     let coordinator = &self.directors[to].coordinator.0;
                     coordinator.borrow_mut().receive(self.now, &format!("d{from}"), message);
                 } else if matches!(self.directors[to].runs, Runs::Stopped(_)) {
-                    self.put(SECOND, Event2::Message(from, to, life, message)); // its socket's queue keeps it
+                    self.put(SECOND, Event2::Message(from, to, incarnation, message)); // its socket's queue keeps it
                 }
             }
             Event2::Command(command) => {
                 let _ = self.truth.take(command);
             }
-            Event2::Confirm(i, life, term) => {
-                let led = self.leader == i && self.term == term && self.directors[i].life == life;
-                if self.up(i) && self.directors[i].life == life {
+            Event2::Confirm(i, incarnation, term) => {
+                let led =
+                    self.leader == i && self.term == term && self.directors[i].incarnation == incarnation;
+                if self.up(i) && self.directors[i].incarnation == incarnation {
                     self.directors[i].coordinator.0.borrow_mut().leadership_confirmed(self.now, led);
                 }
             }
-            Event2::Proof(i, life, id) => {
+            Event2::Proof(i, incarnation, id) => {
                 // A release ends a session that stands or is being set up.
                 self.playing.remove(&id);
-                if self.up(i) && self.directors[i].life == life {
+                if self.up(i) && self.directors[i].incarnation == incarnation {
                     self.directors[i].coordinator.0.borrow_mut().end_confirmed(self.now, id);
                 }
             }
--- a/crates/continuity/tests/world/turn.rs
+++ b/crates/continuity/tests/world/turn.rs
@@ -95,8 +95,8 @@
             self.offences.push(format!("{now}: d{i} sets up v{viewer} t{title} beside one that may run"));
         }
         let stands = self.below(4) > 0;
-        let lives = 2 * SECOND + self.below(20 * SECOND);
-        let ends = if stands { now + lives } else { now + 1_200_000 };
+        let plays_for = 2 * SECOND + self.below(20 * SECOND);
+        let ends = if stands { now + plays_for } else { now + 1_200_000 };
         self.playing.insert(id, Plays { key: (viewer, title), paid, stands, ends });
         self.directors[i].sessions.insert(id);
         if stands {
@@ -179,7 +179,7 @@
     }
 
     pub(super) fn carry_out(&mut self, i: usize, action: Action) {
-        let (now, life) = (self.now, self.directors[i].life);
+        let (now, incarnation) = (self.now, self.directors[i].incarnation);
         match action {
             Action::Send(to, message) => {
                 let Some(to) = to.strip_prefix('d').and_then(|n| n.parse().ok()) else { return };
@@ -187,7 +187,7 @@
                 // Words get lost; marks only by cuts and crashes, which the check of claims does without.
                 let mark = matches!(message, Message::RegisterSession { .. });
                 if mark || self.below(50) > 0 {
-                    self.put(late, Event2::Message(i, to, life, message));
+                    self.put(late, Event2::Message(i, to, incarnation, message));
                 }
             }
             Action::Propose(command) => {
@@ -200,7 +200,7 @@
             Action::ConfirmLeadership => {
                 let late = 1_000 + self.below(20_000);
                 let term = self.term;
-                self.put(late, Event2::Confirm(i, life, term));
+                self.put(late, Event2::Confirm(i, incarnation, term));
             }
             Action::Adopt(records) => {
                 for (id, record) in records {
@@ -209,7 +209,7 @@
             }
             Action::EndAtStreamer(id, _) => {
                 let late = 1_000 + self.below(5_000);
-                self.put(late, Event2::Proof(i, life, id));
+                self.put(late, Event2::Proof(i, incarnation, id));
             }
             Action::EndForReturn(id) => {
                 self.directors[i].sessions.remove(&id);
--- a/crates/leases/src/grantor.rs
+++ b/crates/leases/src/grantor.rs
@@ -12,7 +12,7 @@
     /// Who asks.
     pub name: String,
     /// For which of its lives; grows.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its number for the question.
     pub number: u64,
 }
@@ -100,14 +100,15 @@
         let pending = self.confirming.take().unwrap_or_default();
         let mut grants = Vec::new();
         for request in pending.into_iter().filter(|_| self.term.is_some()) {
-            let life = (request.name.clone(), request.life);
-            let later =
-                (request.name.clone(), request.life.saturating_add(1))..=(request.name.clone(), u64::MAX);
-            let closed = self.closed.get(&request.name).is_some_and(|closed| *closed >= request.life);
-            if closed || self.granted_at.range(later).next().is_some() || self.closing.contains(&life) {
+            let incarnation = (request.name.clone(), request.incarnation);
+            let later = (request.name.clone(), request.incarnation.saturating_add(1))
+                ..=(request.name.clone(), u64::MAX);
+            let closed = self.closed.get(&request.name).is_some_and(|closed| *closed >= request.incarnation);
+            if closed || self.granted_at.range(later).next().is_some() || self.closing.contains(&incarnation)
+            {
                 continue;
             }
-            self.granted_at.insert(life, now);
+            self.granted_at.insert(incarnation, now);
             grants.push(request);
         }
         grants
@@ -120,18 +121,18 @@
 
     /// Whether a life's lease has run out for sure, whoever gave it. It gets no more from here on: the caller
     /// goes on to have it closed, by a command that names this reign.
-    pub fn try_close(&mut self, now: Micros, name: &str, life: u64) -> Result<u64, CloseError> {
+    pub fn try_close(&mut self, now: Micros, name: &str, incarnation: u64) -> Result<u64, CloseError> {
         let Some((term, since)) = self.term else { return Err(CloseError::NotGrantor) };
         // No more from here on, so that what is given ends.
-        self.closing.insert((name.to_owned(), life));
+        self.closing.insert((name.to_owned(), incarnation));
         let earlier_until = since.saturating_add(self.duration.grantor);
         if earlier_until > now {
             return Err(CloseError::EarlierGrantor(earlier_until));
         }
         // Of former lives as well: a process that was replaced may still run.
-        let lives = (name.to_owned(), 0)..=(name.to_owned(), life);
+        let incarnations = (name.to_owned(), 0)..=(name.to_owned(), incarnation);
         let active_until =
-            self.granted_at.range(lives).map(|(_, at)| at.saturating_add(self.duration.grantor)).max();
+            self.granted_at.range(incarnations).map(|(_, at)| at.saturating_add(self.duration.grantor)).max();
         match active_until.filter(|until| *until > now) {
             Some(until) => Err(CloseError::MayBeActive(until)),
             None => Ok(term),
@@ -139,15 +140,15 @@
     }
 
     /// A life that was about to be closed is not gone after all.
-    pub fn cancel_close(&mut self, name: &str, life: u64) {
-        self.closing.remove(&(name.to_owned(), life));
+    pub fn cancel_close(&mut self, name: &str, incarnation: u64) {
+        self.closing.remove(&(name.to_owned(), incarnation));
     }
 
     /// A life is closed, as agreed, with all before it: they get no lease from anybody.
-    pub fn mark_closed(&mut self, name: &str, life: u64) {
+    pub fn mark_closed(&mut self, name: &str, incarnation: u64) {
         let closed = self.closed.entry(name.to_owned()).or_default();
-        *closed = life.max(*closed);
-        self.closing.retain(|(n, l)| n != name || *l > life);
-        self.granted_at.retain(|(n, l), _| n != name || *l > life);
+        *closed = incarnation.max(*closed);
+        self.closing.retain(|(n, l)| n != name || *l > incarnation);
+        self.granted_at.retain(|(n, l), _| n != name || *l > incarnation);
     }
 }
--- a/crates/leases/tests/grantor.rs
+++ b/crates/leases/tests/grantor.rs
@@ -1,8 +1,8 @@
 //! Tests of `giver`.
 use stonewharf_leases::*;
 
-fn request(name: &str, life: u64, number: u64) -> LeaseRequest {
-    LeaseRequest { name: name.into(), life, number }
+fn request(name: &str, incarnation: u64, number: u64) -> LeaseRequest {
+    LeaseRequest { name: name.into(), incarnation, number }
 }
 
 #[test]
@@ -39,8 +39,8 @@
 fn a_former_life_is_waited_out_though_a_later_one_was_given_a_lease() {
     let mut grantor = LeaseGrantor::new(LeaseDuration { holder: 900, grantor: 1_100 });
     grantor.begin_term(0, 1);
-    for (life, at) in [(5, 1_200), (6, 1_500)] {
-        grantor.request(request("d1", life, 1));
+    for (incarnation, at) in [(5, 1_200), (6, 1_500)] {
+        grantor.request(request("d1", incarnation, 1));
         assert!(grantor.begin_confirmation());
         assert_eq!(grantor.confirmation_succeeded(at).len(), 1);
     }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -138,7 +138,7 @@
             }
             Action::Deliver(i) => {
                 let (to, number) = s.requests.remove(i);
-                s.grantors[to].request(LeaseRequest { name: "d".into(), life: 1, number });
+                s.grantors[to].request(LeaseRequest { name: "d".into(), incarnation: 1, number });
             }
             Action::Confirm(g) => {
                 if !s.grantors[g].begin_confirmation() {
--- a/src/net/agreed/whole.rs
+++ b/src/net/agreed/whole.rs
@@ -66,7 +66,7 @@
     fn both_parts_come_back_and_a_state_of_before_has_no_estates() {
         let mut whole = Whole::default();
         whole.apply(&Out::Time { now_ms: 7 }.write());
-        whole.apply(&on_estates(&Command::BecomeGrantor { name: "d0".into(), life: 1 }));
+        whole.apply(&on_estates(&Command::BecomeGrantor { name: "d0".into(), incarnation: 1 }));
         assert_eq!((whole.rollout.now_ms, whole.estates.grantor_term), (7, 1));
         let back = Whole::read(&whole.snapshot()).expect("read");
         assert_eq!((&back.rollout, &back.estates), (&whole.rollout, &whole.estates));
@@ -75,7 +75,7 @@
         // What this version adds behind it is passed over by one that knows nothing of it.
         assert_eq!(Rollout::restore(&whole.snapshot()).as_ref(), Some(&whole.rollout));
         let mut old = Rollout::default();
-        let reply = old.apply(&on_estates(&Command::BecomeGrantor { name: "d0".into(), life: 1 }));
+        let reply = old.apply(&on_estates(&Command::BecomeGrantor { name: "d0".into(), incarnation: 1 }));
         assert_eq!((reply, old), (stonewharf_rollout::Reply::Unreadable, Rollout::default()));
     }
 }
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -298,17 +298,21 @@
     let (log, now) = (&shared.log, shared.now);
     let hex = |id: &u64| format!("{id:016x}");
     match news {
-        LogEvent::LeaseAcquired(life) => info!(log, "estate: leased"; "at_us" => now, "life" => life),
+        LogEvent::LeaseAcquired(incarnation) => {
+            info!(log, "estate: leased"; "at_us" => now, "life" => incarnation)
+        }
         LogEvent::LeaseExpired(sessions) => {
             warn!(log, "estate: the lease ran out, its sessions are not acted on"; "at_us" => now,
                 "sessions" => sessions);
         }
-        LogEvent::HandedOver(life, sessions) => {
-            warn!(log, "estate: laid down, it is another's"; "at_us" => now, "life" => life,
+        LogEvent::HandedOver(incarnation, sessions) => {
+            warn!(log, "estate: laid down, it is another's"; "at_us" => now, "life" => incarnation,
                 "sessions" => sessions);
         }
-        LogEvent::TakeoverStarted(owner, life, epoch) => info!(log, "estate: takes over"; "at_us" => now,
-            "owner" => owner, "life" => life, "epoch" => epoch),
+        LogEvent::TakeoverStarted(owner, incarnation, epoch) => {
+            info!(log, "estate: takes over"; "at_us" => now,
+            "owner" => owner, "life" => incarnation, "epoch" => epoch)
+        }
         LogEvent::TakeoverDone { owner, epoch, sessions, out, complete } => {
             let kept = match complete {
                 Some(true) => "all",
@@ -327,8 +331,10 @@
         LogEvent::GrantorTermStarted(grantor_term) => {
             info!(log, "estate: gives leases"; "at_us" => now, "reign" => grantor_term)
         }
-        LogEvent::Closing(name, life) => info!(log, "estate: closes a life"; "at_us" => now, "owner" => name,
-            "life" => life),
+        LogEvent::Closing(name, incarnation) => {
+            info!(log, "estate: closes a life"; "at_us" => now, "owner" => name,
+            "life" => incarnation)
+        }
         LogEvent::EndConfirmed(id) => debug!(log, "estate: an attempt is settled"; "session" => hex(id)),
         LogEvent::EndUnconfirmed(id) => {
             warn!(log, "estate: an attempt can't be settled, its streamer does not answer"; "at_us" => now,
