--- a/crates/continuity/src/command.rs
+++ b/crates/continuity/src/command.rs
@@ -4,83 +4,83 @@
 /// A command, as an entry of the log carries it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Command {
-    /// This director gives leases from here on, and nobody else.
+    /// Makes a director the only grantor of leases.
     #[serde(rename = "Reign")]
     BecomeGrantor {
-        /// Who.
+        /// The director.
         name: String,
-        /// Which life of it.
+        /// Its incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
     },
-    /// These keep an estate from here on.
+    /// Sets the replicas of a session set.
     #[serde(rename = "Keepers")]
     SetReplicas {
-        /// Whose.
+        /// The owner of the session set.
         name: String,
-        /// Which life.
+        /// Its incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Who.
+        /// The directors that hold a replica.
         #[serde(rename = "keepers")]
         replicas: Vec<String>,
     },
-    /// A life is lost, and its lease has run out.
+    /// Closes an incarnation that was lost and whose lease has expired.
     Close {
-        /// The reign of the giver that says so.
+        /// Term of the grantor that proposes the command.
         #[serde(rename = "reign")]
         grantor_term: u64,
-        /// Whose.
+        /// The lost director.
         name: String,
-        /// Which life, with all before it.
+        /// The incarnation to close, with all earlier ones.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Who takes its sessions, by equal parts; none: somebody later.
+        /// Successors, for equal parts of the sessions; if empty they are assigned later.
         #[serde(rename = "heirs")]
         successors: Vec<DirectorId>,
-        /// Parts at least.
+        /// The smallest number of parts.
         parts: u32,
     },
-    /// A director lays its estate down: it has stopped acting on it.
+    /// Closes a director's own incarnation, after it has stopped acting on its sessions.
     #[serde(rename = "LayDown")]
     HandOver {
-        /// Who.
+        /// The director.
         name: String,
-        /// Which life.
+        /// Its incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Parts in which its sessions are taken; by whom, the giver finds.
+        /// Number of parts to take over; the grantor assigns the successors.
         parts: u32,
     },
-    /// A takeover without an heir, or whose heir's life is closed, goes to another.
+    /// Assigns a successor to a takeover that has none, or whose successor was closed.
     #[serde(rename = "Next")]
     AssignSuccessor {
-        /// The reign of the giver that says so.
+        /// Term of the grantor that proposes the command.
         #[serde(rename = "reign")]
         grantor_term: u64,
-        /// The epoch that is over.
+        /// Epoch of the takeover, which the command ends.
         epoch: u64,
-        /// Who takes it.
+        /// The new successor.
         #[serde(rename = "heir")]
         successor: DirectorId,
     },
-    /// An heir has all that there is, and its own keepers have it.
+    /// Completes a takeover: the successor has all records, and so have its own replicas.
     #[serde(rename = "Done")]
     Complete {
-        /// Under which epoch.
+        /// Epoch of the takeover.
         epoch: u64,
-        /// Who.
+        /// The successor.
         #[serde(rename = "heir")]
         successor: DirectorId,
     },
 }
 
-/// One life that inherits.
+/// One incarnation of a director.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 pub struct DirectorId {
-    /// Its name.
+    /// Name of the director.
     pub name: String,
-    /// Its life.
+    /// Its incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
@@ -88,31 +88,33 @@
 /// Why a command changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, thiserror::Error)]
 pub enum Refusal {
-    /// Another reigns.
-    #[error("another director gives leases by now; it will find the same and act")]
+    /// Another director is the grantor by now.
+    #[error("another director grants leases by now; it will detect the same loss and act on it")]
     #[serde(rename = "FormerReign")]
     EarlierTerm,
-    /// It was closed before.
-    #[error("that life is closed already; its heirs are in `out history`")]
+    /// The incarnation was closed before.
+    #[error("that incarnation is closed already; its successors are in `out history`")]
     Closed,
-    /// No such takeover, or its heir still lives.
-    #[error("that takeover is with an heir that lives, or over")]
+    /// There is no such takeover, or its successor is not closed.
+    #[error("that takeover is over, or its successor is alive")]
     #[serde(rename = "NotOpen")]
     NoOpenTakeover,
-    /// A name or list is too long, or there are too many.
-    #[error("a name is too long, or there are too many")]
+    /// A name or list is too long, or there are too many of them.
+    #[error("a name is too long, or there are too many names")]
     TooLong,
-    /// This version of the program can't read it.
-    #[error("the voters' version of the program knows no such command; bring all to one version")]
+    /// This version of the program can't decode the command.
+    #[error(
+        "the voters' version of the program does not know this command; update all voters to one version"
+    )]
     Unreadable,
 }
 
-/// What became of a command.
+/// Result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Reply {
-    /// It is so now.
+    /// The command was applied.
     Done,
-    /// The number of the reign.
+    /// The term of the grantor.
     #[serde(rename = "Reigns")]
     Grantor(u64),
     /// Nothing has changed.
--- a/crates/continuity/src/coordinator/actions.rs
+++ b/crates/continuity/src/coordinator/actions.rs
@@ -1,93 +1,93 @@
-//! What one director's part in estates wants done, and what it has to tell.
+//! What a coordinator wants done, and the events that it reports.
 use crate::command::Command;
 use crate::message::{EndKind, Message};
 use crate::record::{Id, Record};
 
-/// Who this director is.
+/// This director.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalDirector {
     /// Its name.
     pub name: String,
     /// Its hall.
     pub hall: String,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Tell another director.
+    /// Send a message to another director.
     Send(String, Message),
-    /// Have this agreed.
+    /// Propose a command to the replicated log.
     Propose(Command),
-    /// Have the voters confirm that this director leads; the answer goes to [`crate::Hand::confirmed`].
+    /// Have the voters confirm that this director leads; the result goes to
+    /// [`crate::Coordinator::leadership_confirmed`].
     ConfirmLeadership,
     /// These sessions are this director's from now on.
     Adopt(Vec<(Id, Record)>),
-    /// Have a session ended at its streamer; its proof goes to [`crate::Hand::settled`].
+    /// Have a session ended at its streamer; the confirmation goes to [`crate::Coordinator::end_confirmed`].
     EndAtStreamer(Id, String),
-    /// End a session that stands here, since its viewer came again elsewhere.
+    /// End a session that is established here, because its viewer returned elsewhere.
     EndForReturn(Id),
-    /// Release an inherited session for which there is no room, at both sides.
+    /// Release a session that was taken over and exceeds the capacity, at viewer and streamer.
     Release(Id, Record),
-    /// These sessions are another director's from now on: forget them, and touch nothing of them.
+    /// These sessions are another director's from now on: forget them, and change nothing about them.
     Forget(Vec<Id>),
-    /// Something that another director heard on a session of this one.
+    /// The end of one of this director's sessions, as received by another director.
     MisroutedEnd(Id, String, EndKind),
-    /// Log what has changed.
+    /// Log an event.
     Log(LogEvent),
 }
 
-/// What has changed, for the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// It may act on its estate of this life.
+    /// The director may act on the session set of this incarnation.
     LeaseAcquired(u64),
-    /// It may not: the lease ran out, with so many sessions.
+    /// The lease expired, with this many sessions.
     LeaseExpired(usize),
-    /// Its estate of a life is another's: so many sessions.
+    /// The session set of this incarnation, with this many sessions, belongs to other directors.
     HandedOver(u64, usize),
-    /// It takes over: whose, which life, under which epoch.
+    /// A takeover has started: owner, incarnation and epoch.
     TakeoverStarted(String, u64, u64),
-    /// It has taken over, so many sessions, of them with an attempt out, and whether keepers had everything;
-    /// `None`: they had nothing.
+    /// A takeover is complete.
     TakeoverDone {
-        /// Whose.
+        /// The former owner.
         owner: String,
-        /// Under which epoch.
+        /// The epoch.
         epoch: u64,
-        /// Sessions.
+        /// Established sessions.
         sessions: usize,
-        /// With an attempt out.
+        /// Sessions with an attempt in flight.
         out: usize,
-        /// See above.
+        /// Whether the replica was complete; `None`: there was none.
         complete: Option<bool>,
     },
-    /// Its keepers.
+    /// The replicas of this director's session set.
     ReplicasChosen(Vec<String>),
-    /// A keeper lags, and is replaced.
+    /// A replica lags, and is replaced.
     ReplicaLags(String),
-    /// This director gives leases.
+    /// This director grants leases, in this term.
     GrantorTermStarted(u64),
-    /// A life is to be closed.
+    /// An incarnation is to be closed.
     Closing(String, u64),
-    /// An attempt that was out is proven to be over.
+    /// The end of a session is confirmed by its streamer.
     EndConfirmed(Id),
-    /// It could not be proven.
+    /// The end of a session could not be confirmed.
     EndUnconfirmed(Id),
 }
 
-/// An error that is planted on purpose, to see that checks find it.
+/// A fault planted on purpose, to show that the checks find it.
 #[cfg(feature = "planted")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// A life is closed as soon as it seems lost, whatever its lease.
+    /// An incarnation is closed as soon as it seems lost, whatever its lease.
     CloseBeforeExpiry,
-    /// An heir acts on what it fetched before that is agreed.
+    /// A successor acts on the records that it fetched before the takeover is agreed as complete.
     ActBeforeAgreed,
-    /// A viewer who comes again is served at once.
+    /// A returning viewer is served at once.
     ServeReturnAtOnce,
-    /// Bytes go out by a lease that has run out.
+    /// Bytes are sent under an expired lease.
     IgnoreLeaseExpiry,
 }
--- a/crates/continuity/src/coordinator/end_sessions.rs
+++ b/crates/continuity/src/coordinator/end_sessions.rs
@@ -1,35 +1,35 @@
-//! Sessions that are to be ended at their streamers, until that is proven.
+//! Ends sessions at their streamers and retries until the end is confirmed.
 use super::{Action, Coordinator, END_RETRY_US, EndingSession, LogEvent, MAX_END_TRIES};
 use crate::message::RegisteredSession;
 use crate::record::{Id, Stage};
 use stonewharf_core::Micros;
 
 impl Coordinator {
-    /// A viewer came again elsewhere, and this session of it is to be ended first.
+    /// A viewer returned elsewhere, so this session has to be ended first.
     pub(super) fn end_for_returning_viewer(&mut self, held: &RegisteredSession) {
         let id = held.id;
         let own = (held.owner.as_str(), held.incarnation) == (self.me.name.as_str(), self.own.incarnation());
         match self.record(id).map(|r| (r.stage, r.streamer.clone())) {
             _ if self.ending.contains_key(&id) => {}
-            // Of its own it knows that nothing runs.
+            // Of its own sessions it knows that nothing runs.
             None if own => {
                 self.with_registry(|registry, context, out| registry.session_over(context, id, out))
             }
-            // Inherited, and no keeper knew of it: it may run, and is ended where it was set up.
+            // Taken over, and missing in the replicas: it may run, and is ended where it was set up.
             None if self.took_over(held) => {
                 self.blocked.remove(&id);
                 self.end_at_streamer(id, held.streamer.clone());
             }
-            None => {} // of a former life that is not closed, or another's
+            None => {} // of an earlier incarnation that is not closed, or another director's
             Some((Stage::Established, streamer)) if self.may_act(self.now, id) => {
                 self.actions.push(Action::EndForReturn(id));
                 self.end_at_streamer(id, streamer);
             }
-            Some(_) => {} // who asks will ask again
+            Some(_) => {} // the requester will retry
         }
     }
 
-    /// Whether a session is of an estate, or a part of one, that this director took over.
+    /// Whether a session belongs to a session set, or a part of one, that this director took over.
     fn took_over(&self, held: &RegisteredSession) -> bool {
         let (name, incarnation) = (&self.me.name, self.own.incarnation());
         let takeover = self.ownership.takeover_of(&held.owner, held.incarnation, held.id).filter(|t| t.done);
@@ -38,7 +38,7 @@
             .is_some_and(|h| (&h.name, h.incarnation) == (name, incarnation))
     }
 
-    /// Has a session ended at its streamer, until that is proven.
+    /// Has a session ended at its streamer, with retries until that is confirmed.
     pub(crate) fn end_at_streamer(&mut self, id: Id, streamer: String) {
         let again_at = self.now.saturating_add(END_RETRY_US);
         self.actions.push(Action::EndAtStreamer(id, streamer.clone()));
@@ -55,14 +55,14 @@
         }
     }
 
-    /// A streamer's processes of before a moment are gone, and with them what it ran.
+    /// The streamer was restarted or is gone, and with it the sessions that it ran.
     pub fn streamer_restarted(&mut self, now: Micros, streamer: &str) {
         let gone = self.ending.iter().filter(|(_, s)| s.streamer == streamer);
         let gone: Vec<Id> = gone.map(|(id, _)| *id).collect();
         gone.into_iter().for_each(|id| self.end_confirmed(now, id));
     }
 
-    /// Sessions that are to be ended and are not proven to be.
+    /// Repeats unconfirmed session ends that are due, and gives up after too many tries.
     pub(super) fn retry_ends(&mut self) {
         let now = self.now;
         let late: Vec<Id> =
--- a/crates/continuity/src/coordinator/lease.rs
+++ b/crates/continuity/src/coordinator/lease.rs
@@ -1,4 +1,4 @@
-//! The estate: the lease on it, who keeps it, and how it is laid down.
+//! The lease on this director's session set, the choice of its replicas, and its hand-over.
 use super::{Action, Coordinator, HAND_OVER_TIMEOUT_US, LogEvent, PROPOSAL_RETRY_US};
 use crate::command::Command;
 use crate::member::select_replicas;
@@ -6,7 +6,8 @@
 use stonewharf_core::Micros;
 
 impl Coordinator {
-    /// The lease is there, or back: what began without it is kept from now on.
+    /// Acts on a lease that has just become valid: sessions that began without one are replicated from now
+    /// on.
     pub(super) fn check_lease_start(&mut self) {
         if self.leased || !self.holder.is_valid(self.now) {
             return;
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Its life is closed: what was kept under it is another's. What began since is a new estate.
+    /// This incarnation is closed: its sessions belong to others. Sessions that began since are a new session
+    /// set.
     pub(super) fn abandon_sessions(&mut self) {
         let (incarnation, mut ids) = (self.own.incarnation(), Vec::new());
         for id in self.own.records().keys().copied().collect::<Vec<_>>() {
@@ -37,7 +39,8 @@
         self.takeover_tasks.clear();
         self.own = OwnSessions::new(self.now.max(incarnation + 1));
         self.holder.relinquish(self.now);
-        // What it still takes as it leaves is a new estate, kept and left like any other.
+        // What this director still accepts while it leaves is a new session set, replicated and handed over
+        // like any other.
         (self.leased, self.leaving) = (false, None);
         self.actions.push(Action::Log(LogEvent::HandedOver(incarnation, ids.len())));
         self.registry.abandon_sessions(&ids);
@@ -45,7 +48,7 @@
         self.with_registry(|registry, context, out| registry.reregister(context, true, out));
     }
 
-    /// Keepers are chosen once there is a lease: before, nothing is shared.
+    /// Replicas are chosen once there is a lease; nothing is replicated before.
     pub(super) fn choose_replicas(&mut self) {
         if !self.leased {
             return;
@@ -60,7 +63,7 @@
         }
     }
 
-    /// It is about to leave: it acts on its estate no more, and hands it over at once.
+    /// The director is about to leave: it stops acting on its sessions and hands them over at once.
     pub fn leave(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.leaving.get_or_insert(now);
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Has something agreed, once in a while until it is.
+    /// Proposes a command, and repeats that at intervals until it is agreed.
     pub(crate) fn propose(&mut self, about: String, command: Command) {
         let at = self.proposed_at.get(&about).copied().unwrap_or(0);
         if at == 0 || at.saturating_add(PROPOSAL_RETRY_US) <= self.now {
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Who keeps the estate is agreed, so that heirs find it.
+    /// Has the replicas agreed in the log, where successors find them.
     pub(super) fn propose_replicas(&mut self) {
         let (incarnation, replicas) = (self.own.incarnation(), self.own.replicas());
         let known = self.ownership.replicas.get(&(self.me.name.clone(), incarnation));
--- a/crates/continuity/src/coordinator/mod.rs
+++ b/crates/continuity/src/coordinator/mod.rs
@@ -1,6 +1,7 @@
-//! One director's part in all of this: what it may act on, what it keeps for others, what it inherits, and
-//! what it does while it gives leases. Told events, words, what is agreed and the time; says what is to be
-//! done. The decision module asks it through the seam (`seam.rs`).
+//! The coordinator of session continuity at one director: what the director may act on, the replicas that it
+//! stores, the sessions that it takes over, and its duties as lease grantor. It is fed events, messages,
+//! agreed state and the time, and returns the actions to carry out. The decision module sees it through
+//! `limits.rs`.
 mod actions;
 mod end_sessions;
 mod lease;
@@ -23,20 +24,20 @@
 use stonewharf_core::{Effect, Micros, Settings, StreamerId};
 use stonewharf_leases::{LeaseGrantor, LeaseHolder, LeaseRequest};
 
-/// What a viewer asked for is forgotten after so long, where no set-up followed.
+/// A request summary is dropped after this time if no attempt followed.
 const SUMMARY_LIFETIME_US: Micros = 60_000_000;
-/// A director that was not asked for so long stood still.
+/// A director that was not called for this time was paused.
 const STALLED_AFTER_US: Micros = 500_000;
-/// Between looks at what has no deadline of its own.
+/// Interval of the checks that have no deadline of their own.
 const CHECK_INTERVAL_US: Micros = 100_000;
-/// A command that is not agreed is given again after so long.
+/// A command that is not yet agreed is proposed again after this time.
 pub(crate) const PROPOSAL_RETRY_US: Micros = 500_000;
-/// A director that leaves waits so long for its keepers to have all.
+/// How long a leaving director waits for its replicas to acknowledge everything.
 const HAND_OVER_TIMEOUT_US: Micros = 500_000;
-/// Strays are kept for so long, until their heir is there, and so many of them.
+/// How long, and how many, misrouted session ends are kept until there is a successor for them.
 const MISROUTED_END_LIFETIME_US: Micros = 10_000_000;
 const MAX_MISROUTED_ENDS: usize = 4_096;
-/// Between tries to have a session ended at its streamer, and how often that is tried.
+/// Interval between tries to end a session at its streamer, and the largest number of tries.
 const END_RETRY_US: Micros = 1_000_000;
 const MAX_END_TRIES: u32 = 30;
 
@@ -47,61 +48,62 @@
     tries: u32,
 }
 
-/// One director's part.
+/// The coordinator of one director.
 pub struct Coordinator {
     pub(crate) set: ContinuitySettings,
     pub(crate) me: LocalDirector,
     pub(crate) now: Micros,
-    /// Classes by number: name, and whether one is paid.
+    /// Classes by number: name, and whether they are paid.
     pub(crate) classes: Vec<(String, bool)>,
     pub(crate) floors: Vec<u8>,
     pub(crate) names: BTreeMap<StreamerId, String>,
     pub(crate) summaries: BTreeMap<Id, (RequestSummary, Micros)>,
     pub(crate) members: Vec<Member>,
-    /// Former views of the fleet, and when each was replaced.
+    /// Earlier views of the fleet, and when each was replaced.
     earlier_views: Vec<(Micros, Vec<Member>)>,
-    /// Views in which some were that are gone, and when who went: by name and life.
+    /// Views that contained members which were lost since, and when; and when each member, by name and
+    /// incarnation, was lost.
     loss_views: Vec<(Micros, Vec<Member>)>,
     lost_at: BTreeMap<(String, u64), Micros>,
     pub(crate) ownership: OwnershipState,
     holder: LeaseHolder,
     leased: bool,
-    /// The estate.
+    /// This director's session set.
     pub(crate) own: OwnSessions,
-    /// Sessions that no keeper was told of, since the lease had run out when they began.
+    /// Sessions that were not replicated, because there was no valid lease when they began.
     pub(crate) unleased: BTreeMap<Id, Record>,
-    /// Requests that may not be sent again: their estate was not this director's to act on as an attempt
-    /// ended.
+    /// Requests that may not be sent again: when an attempt ended, their session set was not this director's
+    /// to act on.
     pub(crate) blocked: BTreeMap<Id, Micros>,
-    /// What is kept for others.
+    /// Replicas of other directors' session sets.
     pub(crate) replica_store: ReplicaStore,
     pub(crate) registry: PaidSessionRegistry,
     takeover_tasks: BTreeMap<u64, (TakeoverTask, Option<bool>)>,
     ending: BTreeMap<Id, EndingSession>,
-    /// Inherited sessions without room, and when each is released.
+    /// Sessions that were taken over beyond the capacity, and when each is released.
     scheduled_releases: VecDeque<(Micros, Id, Record)>,
-    /// Lags that were passed over, and until when.
+    /// Lagging replicas that are not chosen again until this time.
     excluded_replicas: BTreeMap<String, Micros>,
-    /// Commands that are under way, by what they are about.
+    /// Commands under way, by subject, and when each was last proposed.
     pub(crate) proposed_at: BTreeMap<String, Micros>,
     leaving: Option<Micros>,
-    /// What came lately on sessions that this director does not hold.
+    /// Recent ends of sessions that this director does not hold.
     misrouted_ends: VecDeque<(Micros, Id, EndKind)>,
     next_check_at: Micros,
     last_tick_at: Micros,
     pub(crate) actions: Vec<Action>,
-    // What a giver has beside its leases.
+    // State of the lease grantor.
     pub(crate) grantor: LeaseGrantor,
     pub(crate) leads: bool,
     pub(crate) session_counts: BTreeMap<String, (u64, usize)>,
     pub(crate) proposed: BTreeSet<(String, u64)>,
-    /// What is planted.
+    /// The planted fault.
     #[cfg(feature = "planted")]
     pub planted_fault: Option<PlantedFault>,
 }
 
 impl Coordinator {
-    /// A director at its start. `names`: the classes by number.
+    /// A coordinator at the start of its director. `names`: the classes by number.
     pub fn new(
         set: ContinuitySettings,
         settings: &Settings,
@@ -152,18 +154,18 @@
         }
     }
 
-    /// What is to be done now; each deed once.
+    /// Returns what is to be done now; each action once.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes back what was taken and is to be done later.
+    /// Returns actions that were taken and are to be done later.
     pub fn put_back_actions(&mut self, actions: Vec<Action>) {
         self.actions.splice(0..0, actions);
     }
 
-    /// Whether this director may act on a session by its own will at this moment: set a rung, send another
-    /// attempt, end it. To be asked with the time as it is when bytes go out.
+    /// Whether this director may act on a session on its own initiative: set a rung, send another attempt,
+    /// end it. Has to be called with the current time as bytes are written.
     pub fn may_act(&self, now: Micros, id: Id) -> bool {
         #[cfg(feature = "planted")]
         if self.planted_fault == Some(PlantedFault::IgnoreLeaseExpiry) {
@@ -173,12 +175,12 @@
         !others && (!self.own.records().contains_key(&id) || self.holder.is_valid(now))
     }
 
-    /// Until when it may act on its estate.
+    /// Until when the director may act on its session set.
     pub fn leased_until(&self) -> Micros {
         self.holder.valid_until()
     }
 
-    /// Sessions that it holds, with an attempt out or standing.
+    /// Number of sessions that it holds, with an attempt in flight or established.
     pub fn sessions(&self) -> usize {
         self.own.records().len() + self.unleased.len()
     }
@@ -188,19 +190,19 @@
         self.own.records().get(&id).or_else(|| self.unleased.get(&id))
     }
 
-    /// Estates and sessions kept for others, viewers in the register and asked about, changes of its own that
-    /// no keeper has yet.
+    /// Figures: replicas and sessions in them, viewer and title pairs in the register and queries for them,
+    /// and changes of its own that no replica has yet.
     pub fn session_counts(&self) -> [usize; 5] {
         let ((ownership, records), (keys, asked)) = (self.replica_store.size(), self.registry.sizes());
         [ownership, records, keys, asked, self.own.unreplicated()]
     }
 
-    /// The list: names of streamers by number.
+    /// Names of streamers by number, from discovery.
     pub fn set_streamer_names(&mut self, names: impl IntoIterator<Item = (StreamerId, String)>) {
         self.names.extend(names);
     }
 
-    /// A viewer's set-up came, or an inherited session is about to be handed to the module.
+    /// A set-up request arrived, or a session that was taken over is about to enter the decision module.
     pub fn note_request(&mut self, id: Id, summary: RequestSummary) {
         self.summaries.insert(id, (summary, self.now));
     }
@@ -209,7 +211,7 @@
         (self.now, self.me.name.clone(), self.own.incarnation())
     }
 
-    /// Hands the claims what they work with, and takes what they say.
+    /// Runs an operation of the registry with its context, and sends the resulting messages.
     pub(crate) fn with_registry<T>(
         &mut self,
         act: impl FnOnce(&mut PaidSessionRegistry, &RegistryContext<'_>, &mut Outbox) -> T,
@@ -232,7 +234,7 @@
         result
     }
 
-    /// Books what is known of a session now; `None`: it is over.
+    /// Updates the record of a session; `None`: it is over.
     pub(crate) fn update_session(&mut self, id: Id, record: Option<Record>) {
         let ours = self.own.records().contains_key(&id);
         match record {
@@ -245,16 +247,16 @@
         }
     }
 
-    // ---- What comes in ------------------------------------------------------------------------------------
+    // ---- Incoming messages --------------------------------------------------------------------------------
 
-    /// Takes a word of another director, as bytes.
+    /// Takes an encoded message from another director.
     pub fn receive_bytes(&mut self, now: Micros, from: &str, bytes: &[u8]) -> Result<(), UnreadableMessage> {
         let message = Message::decode(bytes)?;
         self.receive(now, from, message);
         Ok(())
     }
 
-    /// Takes a word of another director, whose name was checked.
+    /// Takes a message from another director, whose name was checked.
     pub fn receive(&mut self, now: Micros, from: &str, message: Message) {
         self.now = self.now.max(now);
         match message {
@@ -279,7 +281,7 @@
             }
             Message::ReplicaGap { incarnation, run } => self.own.restart_replica(from, incarnation, run),
             Message::FetchReplica { owner, incarnation, part, of, behind } => {
-                // Only of what is closed, so that nothing changes any more while it is read.
+                // Only for a closed incarnation, so that the replica does not change while it is read.
                 if self.ownership.is_closed(&owner, incarnation) {
                     let page = self.replica_store.page(&owner, incarnation, part, of, behind);
                     self.send(from, page);
@@ -318,11 +320,11 @@
     }
 
     // ---- Time ---------------------------------------------------------------------------------------------
-    /// Time has passed, or something came in: what is due is done.
+    /// Does what is due after time has passed or something arrived.
     pub fn tick(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let now = self.now;
-        // Who stood still may have missed marks: it is no sure register for a while.
+        // A paused director may have missed registrations: it is not sure to know for a while.
         if self.last_tick_at.saturating_add(STALLED_AFTER_US) < now {
             self.earlier_views.push((now, Vec::new()));
         }
@@ -339,7 +341,8 @@
         }
         if self.next_check_at <= now {
             self.next_check_at = now.saturating_add(CHECK_INTERVAL_US);
-            // Who inherits marks anew what the lost can't: former views count until that is done.
+            // A successor registers again what the lost director can't; earlier views count until that is
+            // done.
             let lost =
                 self.ownership.replicas.keys().any(|(name, incarnation)| self.is_lost(name, *incarnation));
             if !lost && self.ownership.takeovers.values().all(|t| t.done) {
@@ -372,7 +375,7 @@
         }
     }
 
-    /// When [`Hand::due`] wants to be called next.
+    /// When [`Coordinator::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Micros {
         let ask = if self.leaving.is_none() { self.holder.next_request_at() } else { Micros::MAX };
         let lapse = if self.leased { self.holder.valid_until() } else { Micros::MAX };
@@ -383,7 +386,7 @@
             .unwrap_or(0)
     }
 
-    /// Takes a question for a lease.
+    /// Takes a request for a lease.
     fn lease_requested(&mut self, from: &str, incarnation: u64, number: u64, sessions: u32) {
         self.session_counts.insert(from.to_owned(), (incarnation, sessions as usize));
         self.grantor.request(LeaseRequest { name: from.to_owned(), incarnation, number });
--- a/crates/continuity/src/coordinator/observe.rs
+++ b/crates/continuity/src/coordinator/observe.rs
@@ -1,4 +1,4 @@
-//! News that come from outside: the fleet, what is agreed, and what concerns sessions of others.
+//! Takes changes from outside: the fleet, the agreed ownership, and ends of other directors' sessions.
 use super::{Action, Coordinator, MAX_MISROUTED_ENDS, MISROUTED_END_LIFETIME_US};
 use crate::member::Member;
 use crate::message::{EndKind, Message};
@@ -8,8 +8,8 @@
 use stonewharf_core::Micros;
 
 impl Coordinator {
-    /// Something came on a session that this director does not hold: whoever inherited it may, or is about
-    /// to.
+    /// A session that this director does not hold has ended: forwards that to the directors that took it over
+    /// or are about to.
     pub fn misrouted_end(&mut self, now: Micros, id: Id, what: EndKind) {
         self.now = self.now.max(now);
         let successors: BTreeSet<String> = (self.ownership.takeovers.values())
@@ -25,7 +25,7 @@
         self.misrouted_ends.push_back((now, id, what));
     }
 
-    /// Strays that came before their heir had anything, now that it has.
+    /// Forwards ends that arrived before the successor had the sessions, now that it has them.
     pub(super) fn forward_misrouted_ends(&mut self, successor: &str) {
         let now = self.now;
         self.misrouted_ends.retain(|(at, ..)| at.saturating_add(MISROUTED_END_LIFETIME_US) > now);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Who is in the fleet.
+    /// The current members of the fleet.
     pub fn set_members(&mut self, now: Micros, members: Vec<Member>) {
         self.now = self.now.max(now);
         if self.members != members {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Notes who was there before and is not now: what only they knew is known to nobody.
+    /// Notes members that were lost since the earlier view: what only they knew is known to nobody.
     pub(super) fn note_lost_members(&mut self, before: &[Member]) {
         let now = self.now;
         let kept = self.set.unknown_hold_off_ms.saturating_mul(1_000);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What is agreed, where it has changed.
+    /// Applies the agreed ownership, if it has changed.
     pub fn apply_ownership(&mut self, now: Micros, ownership: &OwnershipState) {
         self.now = self.now.max(now);
         if ownership.version == self.ownership.version {
@@ -83,7 +83,7 @@
         let successors: BTreeSet<String> =
             fresh.filter_map(|(_, t)| t.successor.as_ref().map(|h| h.name.clone())).collect();
         successors.into_iter().for_each(|successor| self.forward_misrouted_ends(&successor));
-        // What is done needs no keeping; what waits for its heir does.
+        // Replicas of completed takeovers are no longer needed; those of open takeovers are.
         let incarnations: Vec<(String, u64)> = self
             .replica_store
             .incarnations()
--- a/crates/continuity/src/coordinator/successor.rs
+++ b/crates/continuity/src/coordinator/successor.rs
@@ -1,4 +1,4 @@
-//! The heir's part: takeovers that are this director's, step by step, until their sessions are its own.
+//! Takeovers at their successor, from the fetch until the sessions are its own.
 use super::{Action, Coordinator, LogEvent};
 use crate::command::{Command, DirectorId};
 use crate::ownership::Takeover;
@@ -6,7 +6,7 @@
 use crate::takeover::{Next, TakeoverTask};
 
 impl Coordinator {
-    /// Takes up what is agreed of takeovers that are this director's.
+    /// Follows the agreed takeovers whose successor this director is.
     pub(super) fn update_takeovers(&mut self) {
         let me = (self.me.name.clone(), self.own.incarnation());
         let mine =
@@ -18,7 +18,7 @@
                 Some(t) if t.done => self.finish_takeover(epoch),
                 Some(_) => {}
                 None => {
-                    // It is another's: what was laid aside for it is nobody's here.
+                    // The takeover is another director's now: the records fetched for it are dropped.
                     let ids =
                         self.takeover_tasks.remove(&epoch).map(|(a, _)| a.ids().clone()).unwrap_or_default();
                     ids.into_iter().for_each(|id| self.own.change(id, None));
@@ -44,7 +44,7 @@
             match task.look(now, alive, |ids| self.own.is_replicated(ids)) {
                 Next::Ask(messages) => messages.into_iter().for_each(|(to, message)| self.send(&to, message)),
                 Next::Keep(records, complete) => {
-                    // Of an heir that died in the middle of a takeover: what it had laid aside is nobody's.
+                    // Records that a successor stored under an epoch that is void since belong to nobody.
                     let void = &self.ownership.void;
                     let records: Vec<_> =
                         records.into_iter().filter(|(_, r)| !void.contains(&r.epoch)).collect();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A takeover is agreed as done: its sessions are this director's.
+    /// A takeover is agreed as complete: its sessions are this director's.
     pub(super) fn finish_takeover(&mut self, epoch: u64) {
         let Some((task, complete)) = self.takeover_tasks.remove(&epoch) else { return };
         let (mut standing, mut out) = (Vec::new(), Vec::new());
--- a/crates/continuity/src/grantor.rs
+++ b/crates/continuity/src/grantor.rs
@@ -1,5 +1,6 @@
-//! What the director does that leads the agreed log: it has its reign agreed, gives leases once its lead was
-//! confirmed, has lives closed whose leases have run out, and finds heirs for what nobody has.
+//! Duties of the leader of the replicated log: it has its term as lease grantor agreed, grants leases once
+//! its leadership was confirmed, closes lost incarnations whose leases have expired, and assigns successors
+//! to takeovers that have none.
 use crate::command::{Command, DirectorId};
 use crate::coordinator::{Action, Coordinator, LogEvent};
 use crate::member::Member;
@@ -9,11 +10,11 @@
 use std::cmp::Reverse;
 use stonewharf_core::Micros;
 
-/// Heirs of an estate whose size is not known.
+/// Number of successors for a session set of unknown size.
 const SUCCESSORS_FOR_UNKNOWN_SIZE: usize = 2;
 
 impl Coordinator {
-    /// Whether this director leads the agreed log now, and knows all that is agreed.
+    /// Whether this director leads the replicated log now and has applied all committed commands.
     pub fn set_leading(&mut self, now: Micros, leads: bool) {
         self.now = self.now.max(now);
         if self.leads && !leads {
@@ -24,7 +25,7 @@
         self.leads = leads;
     }
 
-    /// Most voters confirmed that this director leads, or it could not be found out.
+    /// The result of a leadership confirmation; `confirmed` is false if it could not be determined.
     pub fn leadership_confirmed(&mut self, now: Micros, confirmed: bool) {
         self.now = self.now.max(now);
         if !confirmed || !self.leads {
@@ -43,7 +44,7 @@
         grantor.is_some_and(|g| g.name == self.me.name && g.incarnation == self.me.incarnation)
     }
 
-    /// What is agreed has changed: another may reign by now.
+    /// The ownership has changed: another director may be the grantor by now.
     pub(crate) fn check_grantor(&mut self) {
         if !self.is_grantor() {
             self.grantor.end_term();
@@ -70,15 +71,15 @@
         self.assign_successors();
     }
 
-    /// Whether the process of a life is gone, as the fleet sees it.
+    /// Whether the process of an incarnation is lost, in this director's view of the fleet.
     pub(crate) fn is_lost(&self, name: &str, incarnation: u64) -> bool {
         match self.members.iter().find(|m| m.name == name) {
             Some(m) => !m.in_fleet || incarnation < m.incarnation,
-            None => false, // a fleet that is only being met
+            None => false, // this director does not know its fleet yet
         }
     }
 
-    /// Has lives closed that are gone and whose leases have run out.
+    /// Closes lost incarnations whose leases have expired.
     fn close_lost(&mut self) {
         let kept: Vec<(String, u64)> = self.ownership.replicas.keys().cloned().collect();
         for (name, incarnation) in kept {
@@ -110,12 +111,13 @@
         }
     }
 
-    /// Who takes an estate: its keepers first, who have it already, then those of its hall.
+    /// Successors for a session set: its replicas first, which have the records already, then directors of
+    /// its hall.
     fn successors(&self, owner: &str, incarnation: u64, size: Option<usize>) -> Vec<DirectorId> {
         let replicas = self.ownership.replicas.get(&(owner.to_owned(), incarnation));
         let keeps = |m: &Member| replicas.is_some_and(|k| k.contains(&m.name));
         let hall = self.members.iter().find(|m| m.name == owner).map(|m| m.hall.clone());
-        // Who has asked for a lease lately has an estate of its own to take it into.
+        // A director that has requested a lease lately has a session set of its own to add the sessions to.
         let mut able: Vec<(&Member, u64, usize)> = (self.members.iter())
             .filter(|m| m.serving && m.name != owner)
             .filter_map(|m| {
@@ -136,7 +138,7 @@
         able.into_iter().take(many.clamp(1, MAX_SUCCESSORS)).map(successor).collect()
     }
 
-    /// Finds somebody for each takeover without an heir.
+    /// Assigns a successor to each takeover that has none.
     fn assign_successors(&mut self) {
         let grantor_term = self.ownership.grantor_term;
         let open: Vec<_> = self
@@ -147,7 +149,7 @@
         for (epoch, owner, takeover) in open {
             let all = self.successors(&owner, takeover.incarnation, Some(usize::MAX / 2));
             let replica = all.iter().position(|h| takeover.replicas.contains(&h.name));
-            // Parts of one estate go to different heirs.
+            // Parts of one session set go to different successors.
             let at = match (takeover.of, replica) {
                 (1, Some(replica)) => replica,
                 _ => takeover.part as usize % all.len().max(1),
--- a/crates/continuity/src/lib.rs
+++ b/crates/continuity/src/lib.rs
@@ -1,16 +1,17 @@
-//! Sessions that outlive their director.
+//! Sessions that survive the loss of their director.
 //!
-//! Each director's *estate* (attempts that are out, sessions that stand) is kept at two *keepers*. It acts on
-//! it only under a *lease*; when its life is lost and that lease has run out, the life is *closed*, once, in
-//! the agreed log, and each part of its estate goes to one *heir* under an epoch. An heir fetches what was
-//! kept, hands it to its own keepers, and only when that is agreed as done do the sessions enter its module,
-//! as what is handed over at a start. Attempts that were out are first ended at their streamer, and proven to
-//! be. Paid sessions are marked by viewer and title before they are set up, so that a viewer who comes again
-//! anywhere is not set up beside what may still run.
+//! Each director's *session set* (attempts in flight and established sessions) is copied to two *replicas*.
+//! The director acts on it only under a *lease*. When an incarnation of a director is lost and its lease has
+//! expired, the incarnation is *closed*, once, in the replicated log, and each part of its session set goes
+//! to one *successor* under an epoch. A successor fetches the records from the replicas and copies them to
+//! its own; only when that is agreed as complete do the sessions enter its decision module, in the same way
+//! as sessions handed over at a start. Attempts that were in flight are first ended at their streamer, and
+//! their end confirmed. Paid sessions are registered by viewer and title before they are set up, so that a
+//! viewer who returns to any director does not get a second session beside one that may still run.
 //!
-//! S6 of the safety lines: at each instant at most one director acts on a session by its own will. What a
-//! director decided before its lease ran out does not go out after (`Hand::may_act`, asked as bytes go out).
-//! No viewer's answer waits for any of this. Owns no socket, file or clock.
+//! Safety rule S6: at any time at most one director acts on a session on its own initiative. What a director
+//! decided before its lease expired is not sent afterwards (`Coordinator::may_act`, checked as bytes are
+//! written). No answer to a viewer waits for any of this. The crate owns no socket, file or clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/continuity/src/limits.rs
+++ b/crates/continuity/src/limits.rs
@@ -1,5 +1,5 @@
-//! How the decision module meets all this: it is told through the seam's events what becomes of sessions, and
-//! its terms close what may not be done. Never widens anything.
+//! Connects the coordinator to the decision module: it observes events to track sessions, and its limits
+//! forbid what may not be done. It never permits more than the other limits do.
 use crate::coordinator::Coordinator;
 use crate::record::{Record, RequestSummary, Stage};
 use crate::registry::{PaidSessionRegistry, key};
@@ -10,7 +10,7 @@
     ViewerId, hash_name,
 };
 
-/// The number of the viewer and title of a session that another director set up.
+/// The key of the viewer and title of a session that another director set up.
 pub(crate) fn key_of(summary: &RequestSummary) -> u64 {
     let (viewer, title) = (ViewerId(hash_name(&summary.viewer)), TitleId(hash_name(&summary.title)));
     key(&Request { viewer, title, ..Request::default() })
@@ -54,7 +54,7 @@
         if !self.registry.is_registered(id) {
             return;
         }
-        // What may have run is proven to be over before its viewer may be served anew.
+        // What may have run has to be confirmed as over before its viewer may be served again.
         match outcome {
             Outcome::Ok | Outcome::Failed | Outcome::QueueFull | Outcome::Ignored | Outcome::ConnectError => {
                 self.with_registry(|registry, context, out| registry.session_over(context, id, out));
@@ -64,7 +64,8 @@
                 if !standing || outcome != Outcome::Reset {
                     return self.end_at_streamer(id, streamer);
                 }
-                self.with_registry(|registry, context, out| registry.session_over(context, id, out)); // its streamer said so
+                // its streamer said so
+                self.with_registry(|registry, context, out| registry.session_over(context, id, out));
             }
         }
     }
@@ -101,7 +102,7 @@
         !again && !self.is_held_off(request)
     }
 
-    /// Whether its viewer came again, and it is not known yet that nothing of it runs.
+    /// Whether its viewer returned, and it is not yet known that nothing of it runs.
     fn is_held_off(&self, request: &Request) -> bool {
         #[cfg(feature = "planted")]
         if self.planted_fault == Some(crate::coordinator::PlantedFault::ServeReturnAtOnce) {
@@ -111,12 +112,12 @@
     }
 }
 
-/// A hand that a controller asks through the seam, and its host tells and asks as well.
+/// A coordinator shared between the director, as its limits, and the event loop.
 #[derive(Clone)]
 pub struct SharedCoordinator(pub Rc<RefCell<Coordinator>>);
 
 impl SharedCoordinator {
-    /// To be handed to a controller and kept.
+    /// Wraps a coordinator.
     pub fn new(coordinator: Coordinator) -> SharedCoordinator {
         SharedCoordinator(Rc::new(RefCell::new(coordinator)))
     }
--- a/crates/continuity/src/member.rs
+++ b/crates/continuity/src/member.rs
@@ -1,23 +1,24 @@
-//! Who is in the fleet, as far as estates go, and whom a key falls to.
+//! Fleet members, and the choice of replicas and registers among them.
 use crate::record::rendezvous_weight;
 
-/// A director, as this one sees it.
+/// A director as this one sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its name.
     pub name: String,
     /// Its hall.
     pub hall: String,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
-    /// It is in the fleet and serves.
+    /// Whether it is in the fleet and accepts requests.
     pub serving: bool,
-    /// It is in the fleet.
+    /// Whether it is in the fleet.
     pub in_fleet: bool,
 }
 
-/// The two keepers of a director: the best by rendezvous hashing, and the best of another hall than the
-/// director's where there is one, so that a hall that is lost takes no estate along.
+/// Selects the two replicas of a director: the best by rendezvous hashing in another hall than the
+/// director's, if there is one, so that the loss of a hall does not lose a session set, and the best of the
+/// remaining ones.
 pub fn select_replicas(members: &[Member], me: &str, hall: &str, but: &[String]) -> Vec<String> {
     let key = crate::record::hash_fnv1a(me);
     let mut able: Vec<&Member> =
@@ -35,7 +36,7 @@
     able.into_iter().take(2).map(|m| m.name.clone()).collect()
 }
 
-/// The same with the lives of their processes: one that was restarted knows nothing of before.
+/// The same with the incarnations of their processes: a process that was restarted has lost its register.
 pub fn register_incarnations(members: &[Member], key: u64) -> Vec<(String, u64)> {
     let incarnation = |name: &String| members.iter().find(|m| m.name == *name).map_or(0, |m| m.incarnation);
     registers(members, key).into_iter().map(|name| (incarnation(&name), name)).map(|(l, n)| (n, l)).collect()
--- a/crates/continuity/src/message.rs
+++ b/crates/continuity/src/message.rs
@@ -1,217 +1,220 @@
-//! What directors tell each other of estates, and how it is read: bounded in size and count, anything else
-//! is refused whole.
+//! Messages between directors about session continuity, and their decoding: size and counts are bounded, and
+//! a message that exceeds them is refused as a whole.
 use crate::record::{Id, Record};
 use serde::{Deserialize, Serialize};
 
-/// The largest word, bytes.
+/// The largest message, bytes.
 const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// Records in one word at most.
+/// The largest number of records in one message.
 pub(crate) const MAX_RECORDS: usize = 200;
-/// Names and texts, bytes.
+/// The largest length of names and texts, bytes.
 const MAX_TEXT_BYTES: usize = 256;
 
-/// Why a word was refused.
+/// A message was refused: it can't be decoded or is out of bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a word on estates can't be read; do all directors run a version of the program that knows it?")]
+#[error(
+    "a continuity message can't be decoded; do all directors run a version of the program that knows it?"
+)]
 pub struct UnreadableMessage;
 
-/// A word from one director to another.
+/// A message from one director to another.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Message {
-    /// To the giver: a question for a lease on the sender's estate of this life; it holds so many sessions.
+    /// To the grantor: request for a lease on the sender's session set.
     #[serde(rename = "Ask")]
     LeaseRequest {
-        /// The life.
+        /// The sender's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The question.
+        /// Number of the request.
         number: u64,
-        /// Sessions held.
+        /// Sessions that the sender holds.
         sessions: u32,
     },
-    /// The lease to that question.
+    /// The grant that answers a lease request.
     #[serde(rename = "Grant")]
     LeaseGrant {
-        /// The life.
+        /// The receiver's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The question.
+        /// Number of the request.
         number: u64,
     },
-    /// To a keeper: the next changes of the sender's estate.
+    /// To a replica: the next batch of changes to the sender's session set.
     #[serde(rename = "Keep")]
     Replicate {
-        /// The life.
+        /// The sender's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Numbers the owner's beginnings: a later one replaces what is kept.
+        /// Number of the replication run; a later run replaces what the replica has.
         run: u64,
-        /// Numbers the batches of a run, from 1.
+        /// Number of the batch within the run, from 1.
         seq: u64,
-        /// With this batch the keeper has all.
+        /// With this batch the replica is complete.
         #[serde(rename = "whole")]
         complete: bool,
-        /// Records that are new or other, and sessions that are over.
+        /// New or changed records, and `None` for sessions that are over.
         changes: Vec<(Id, Option<Record>)>,
     },
-    /// From a keeper: it has all batches so far.
+    /// From a replica: it has all batches up to this one.
     #[serde(rename = "Have")]
     ReplicaAck {
-        /// The life.
+        /// The owner's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
         /// The run.
         run: u64,
-        /// The last one.
+        /// The latest batch.
         seq: u64,
     },
-    /// From a keeper: it lacks what went before; begin anew.
+    /// From a replica: earlier batches are missing; the owner has to start a new run.
     #[serde(rename = "Lacks")]
     ReplicaGap {
-        /// The life.
+        /// The owner's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
         /// The run.
         run: u64,
     },
-    /// From an heir to a keeper: what is kept of an estate, from a session on.
+    /// From a successor to a replica: request for a page of a session set.
     #[serde(rename = "Fetch")]
     FetchReplica {
-        /// Whose.
+        /// The owner of the session set.
         owner: String,
-        /// Which life.
+        /// Its incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Which part of how many.
+        /// Index of the part.
         part: u32,
-        /// See `part`.
+        /// Number of parts.
         of: u32,
-        /// Sessions behind this one.
+        /// Start after this session.
         behind: Option<Id>,
     },
-    /// From a keeper: a page of it.
+    /// From a replica: a page of a session set.
     #[serde(rename = "Page")]
     ReplicaPage {
-        /// Whose.
+        /// The owner of the session set.
         owner: String,
-        /// Which life.
+        /// Its incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Which part.
+        /// Index of the part.
         part: u32,
-        /// Of which question.
+        /// The start of the page, as in the request.
         behind: Option<Id>,
-        /// The batch up to which it is kept, and whether that was all; `None`: nothing is kept here.
+        /// The latest batch of the replica, and whether it is complete; `None`: there is no replica here.
         kept: Option<(u64, bool)>,
-        /// The page.
+        /// The records.
         records: Vec<(Id, Record)>,
-        /// More follows behind it.
+        /// Whether more pages follow.
         more: bool,
     },
-    /// Something on a session that the sender does not hold, for whoever inherited it.
+    /// The end of a session that the sender does not hold, for the director that took it over.
     #[serde(rename = "Stray")]
     MisroutedEnd {
-        /// Which.
+        /// The session.
         id: Id,
-        /// What.
+        /// How it ended.
         what: EndKind,
     },
     /// To a register: the sender sets up, or holds, a paid session of this viewer and title.
     #[serde(rename = "Mark")]
     RegisterSession {
-        /// Viewer and title.
+        /// Key of the viewer and title.
         key: u64,
-        /// Which session.
+        /// The session.
         id: Id,
-        /// The sender's life.
+        /// The sender's incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Where it is set up.
+        /// The streamer.
         streamer: String,
     },
-    /// To a register: that session is over, and proven to be.
+    /// To a register: a session is confirmed to be over.
     #[serde(rename = "Unmark")]
     UnregisterSession {
-        /// Viewer and title.
+        /// Key of the viewer and title.
         key: u64,
-        /// Which session.
+        /// The session.
         id: Id,
     },
-    /// To a register: may a viewer who comes again be served? If so, its place is kept for the sender.
+    /// To a register: query whether a returning viewer may be served. If so, the register reserves it for the
+    /// sender.
     Claim {
-        /// Viewer and title.
+        /// Key of the viewer and title.
         key: u64,
-        /// The sender's number for the question; grows.
+        /// The sender's number for the query; grows.
         number: u64,
     },
-    /// To a register: the sender needs the place of that question, and of those before it, no more.
+    /// To a register: the sender no longer needs the reservations of this query and of those before it.
     #[serde(rename = "Leave")]
     WithdrawClaim {
-        /// Viewer and title.
+        /// Key of the viewer and title.
         key: u64,
-        /// The question.
+        /// Number of the query.
         number: u64,
     },
-    /// From a register: what it knows.
+    /// From a register: the answer to a query.
     #[serde(rename = "Claimed")]
     ClaimReply {
-        /// Viewer and title.
+        /// Key of the viewer and title.
         key: u64,
         /// A session that may run.
         held: Option<RegisteredSession>,
-        /// It has been a register of this viewer for long enough to know.
+        /// Whether the director has been a register of this viewer for long enough to know.
         sure: bool,
     },
-    /// To a holder: end this session, its viewer came again.
+    /// To a holder: end this session, because its viewer returned elsewhere.
     #[serde(rename = "Yield")]
     EndSession {
-        /// Viewer and title.
+        /// Key of the viewer and title.
         key: u64,
         /// The session.
         held: RegisteredSession,
     },
-    /// From a holder: that session is over, and proven to be.
+    /// From a holder: a session is confirmed to be over.
     #[serde(rename = "Ended")]
     SessionEnded {
-        /// Viewer and title.
+        /// Key of the viewer and title.
         key: u64,
-        /// Which session.
+        /// The session.
         id: Id,
     },
 }
 
-/// A paid session, as a register knows of it.
+/// A paid session as a register knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct RegisteredSession {
-    /// Which.
+    /// The session.
     pub id: Id,
-    /// Who marked it.
+    /// The director that registered it.
     pub owner: String,
-    /// In which life.
+    /// That director's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where it is set up.
+    /// The streamer.
     pub streamer: String,
 }
 
-/// What came on a session at a director that does not hold it.
+/// How a session ended, as received by a director that does not hold it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum EndKind {
-    /// Its streamer released it: it came to its end.
+    /// Its streamer released it at its natural end.
     Ended,
-    /// Its streamer cut it.
+    /// Its streamer cut it short.
     Cut,
     /// Its viewer ended it.
     Left,
 }
 
 impl Message {
-    /// As bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Decodes a message and checks its bounds.
     pub fn decode(bytes: &[u8]) -> Result<Message, UnreadableMessage> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(UnreadableMessage);
--- a/crates/continuity/src/own_sessions.rs
+++ b/crates/continuity/src/own_sessions.rs
@@ -1,49 +1,49 @@
-//! A director's own estate, and what its keepers have of it: changes go out in batches, one on its way to
-//! each keeper at a time, until they are confirmed. What was not confirmed is sent anew as it is by then, so
-//! that traffic is bounded by what changes, however slow a keeper is.
+//! A director's own session set, and what its replicas have of it. Changes are sent in batches, one at a time
+//! to each replica, until they are acknowledged. What was not acknowledged is sent again in its then current
+//! state, so that traffic is bounded by the number of changes, however slow a replica is.
 use crate::message::{MAX_RECORDS, Message};
 use crate::record::{Id, Record};
 use std::collections::{BTreeMap, BTreeSet};
 use stonewharf_core::Micros;
 
-/// A batch that nobody confirmed is sent again after so long.
+/// An unacknowledged batch is sent again after this time.
 const RESEND_AFTER_US: Micros = 200_000;
-/// A keeper that has confirmed nothing for so long lags: it is said, and another one is chosen.
+/// A replica that has acknowledged nothing for this time is lagging: it is reported and replaced.
 const LAGGING_AFTER_US: Micros = 3_000_000;
 
-/// One keeper, as the owner has it.
+/// Replication to one replica.
 #[derive(Clone, Debug)]
 struct ReplicaProgress {
     name: String,
     run: u64,
     seq: u64,
-    /// Sessions whose present state it was not sent.
+    /// Sessions whose current state has not been sent.
     dirty: BTreeSet<Id>,
-    /// The batch on its way: its sessions, and when it was sent last.
+    /// The unacknowledged batch: its sessions, and when it was last sent.
     sent: Option<(Vec<Id>, Micros)>,
-    /// Since when something waits to be confirmed.
+    /// Since when something waits to be acknowledged.
     unacknowledged_since: Option<Micros>,
-    /// It was sent everything once.
+    /// Whether everything has been sent once.
     complete: bool,
 }
 
-/// An estate, at its owner.
+/// A session set at its owner.
 #[derive(Clone, Debug)]
 pub struct OwnSessions {
     incarnation: u64,
     records: BTreeMap<Id, Record>,
     replicas: Vec<ReplicaProgress>,
-    /// Beginnings so far.
+    /// Number of replication runs so far.
     runs: u64,
 }
 
 impl OwnSessions {
-    /// An estate without sessions or keepers.
+    /// A session set without sessions or replicas.
     pub fn new(incarnation: u64) -> OwnSessions {
         OwnSessions { incarnation, records: BTreeMap::new(), replicas: Vec::new(), runs: 0 }
     }
 
-    /// The life under which it is kept.
+    /// The incarnation under which it is replicated.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -53,7 +53,7 @@
         &self.records
     }
 
-    /// A session is new or another, or over.
+    /// Adds or changes a session, or removes it if `record` is `None`.
     pub fn change(&mut self, id: Id, record: Option<Record>) {
         let same = self.records.get(&id) == record.as_ref();
         match record {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// These are its keepers from now on; one that stays keeps what it has.
+    /// Sets the replicas; one that stays keeps what it has.
     pub fn set_replicas(&mut self, names: &[String]) {
         let before = std::mem::take(&mut self.replicas);
         for name in names {
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Names of the keepers.
+    /// Names of the replicas.
     pub fn replicas(&self) -> Vec<String> {
         self.replicas.iter().map(|k| k.name.clone()).collect()
     }
 
-    /// Keepers that have confirmed nothing for too long.
+    /// Replicas that have acknowledged nothing for too long.
     pub fn lagging(&self, now: Micros) -> Vec<String> {
         let lags = |k: &&ReplicaProgress| {
             k.unacknowledged_since.is_some_and(|since| since.saturating_add(LAGGING_AFTER_US) <= now)
@@ -103,7 +103,7 @@
         self.replicas.iter().filter(lags).map(|k| k.name.clone()).collect()
     }
 
-    /// Whether at least one keeper (all, where there is none) has confirmed all of these sessions.
+    /// Whether at least one replica has acknowledged all of these sessions; true if there is no replica.
     pub fn is_replicated(&self, ids: &BTreeSet<Id>) -> bool {
         let has = |k: &ReplicaProgress| {
             let under_way = k.sent.iter().flat_map(|(ids, _)| ids);
@@ -112,13 +112,13 @@
         self.replicas.is_empty() || self.replicas.iter().any(has)
     }
 
-    /// Changes that no keeper has confirmed: what an heir would not know.
+    /// Changes that no replica has acknowledged, and that a successor would therefore not know.
     pub fn unreplicated(&self) -> usize {
         let open = |k: &ReplicaProgress| k.dirty.len() + k.sent.as_ref().map_or(0, |(ids, _)| ids.len());
         self.replicas.iter().map(open).min().unwrap_or(self.records.len())
     }
 
-    /// What is to be sent now.
+    /// The batches to send now.
     pub fn take_due_batches(&mut self, now: Micros) -> Vec<(String, Message)> {
         let mut messages = Vec::new();
         for replica in &mut self.replicas {
@@ -139,7 +139,7 @@
             }
             let Some((ids, at)) = &mut replica.sent else { continue };
             *at = now;
-            // As it is by now: a batch is a set of states, and a later one replaces an earlier.
+            // The current state: a batch is a set of states, and a later one replaces an earlier.
             let changes = ids.iter().map(|id| (*id, self.records.get(id).cloned())).collect();
             let complete = replica.dirty.is_empty();
             let (incarnation, run, seq) = (self.incarnation, replica.run, replica.seq);
@@ -149,7 +149,7 @@
         messages
     }
 
-    /// A keeper has all batches up to one.
+    /// A replica has all batches up to this one.
     pub fn acknowledged(&mut self, from: &str, incarnation: u64, run: u64, seq: u64) {
         let last = |k: &&mut ReplicaProgress| k.name == from && (k.run, k.seq) == (run, seq);
         let Some(replica) = self.replicas.iter_mut().find(last).filter(|_| incarnation == self.incarnation)
@@ -162,7 +162,7 @@
         }
     }
 
-    /// A keeper lacks what went before.
+    /// A replica lacks earlier batches: starts a new run.
     pub fn restart_replica(&mut self, from: &str, incarnation: u64, run: u64) {
         if incarnation != self.incarnation {
             return;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// When [`Owner::send`] has something to do at the latest.
+    /// The latest time at which [`OwnSessions::take_due_batches`] has something to do.
     pub fn next_send_at(&self) -> Micros {
         let due = |k: &ReplicaProgress| match &k.sent {
             Some((_, at)) => at.saturating_add(RESEND_AFTER_US),
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Words are lost, repeated and swapped; once that ends the keeper has just what the owner has.
+    /// Messages are lost, repeated and reordered; once that ends the replica equals the owner's set.
     #[test]
     fn a_keeper_has_what_the_owner_has_once_the_way_is_clear() {
         let (mut owner, mut store) = (OwnSessions::new(7), ReplicaStore::new());
@@ -219,7 +219,7 @@
                 let over = below(3) == 0;
                 owner.change(id, (!over).then(|| record(&format!("s{}", below(4)))));
                 if below(500) == 0 {
-                    store = ReplicaStore::new(); // the keeper was restarted
+                    store = ReplicaStore::new(); // the replica was restarted
                 }
             }
             network.extend(owner.take_due_batches(now).into_iter().map(|(_, message)| message));
--- a/crates/continuity/src/ownership.rs
+++ b/crates/continuity/src/ownership.rs
@@ -1,78 +1,80 @@
-//! What is agreed of estates: who gives leases, which lives are closed, who is heir to what under which
-//! epoch. Changed by [`Command`]s in the log's order and by nothing else, so the same at all directors.
+//! Replicated state of session ownership: which director grants leases, which incarnations are closed, and
+//! which successor takes over which sessions under which epoch. Only [`Command`]s change it, in log order, so
+//! it is the same at all directors.
 //!
-//! A life is closed once, by the giver of the present reign when its lease has run out for sure, or by itself
-//! when it has stopped acting on its sessions. Each part of its estate goes to one heir under an epoch that
-//! no other takeover has. An heir that dies before its takeover is done is followed by another under a later
-//! epoch, from the same records; what it had begun under the former one is void.
+//! An incarnation is closed once: by the grantor of the current term after the incarnation's lease has
+//! certainly expired, or by the director itself after it has stopped acting on its sessions. Each part of its
+//! session set goes to one successor under an epoch that no other takeover has. A successor that fails before
+//! its takeover is done is replaced by another under a later epoch, which starts from the same records; what
+//! the failed one began under its epoch is void.
 use crate::command::{Command, DirectorId, Refusal, Reply};
 use crate::record::{Id, part};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Lives remembered as closed at most; the fleet has fewer names.
+/// The largest number of names with a closed incarnation; a fleet has fewer names.
 const MAX_NAMES: usize = 2_000;
-/// Takeovers that are done and still known: strays find the heir by them.
+/// Completed takeovers that are kept, to route misrouted session ends to the successor.
 const MAX_COMPLETED_TAKEOVERS: usize = 64;
-/// Epochs remembered as void.
+/// Void epochs that are kept.
 const MAX_VOID_EPOCHS: usize = 256;
-/// Heirs of one estate at most.
+/// The largest number of successors for one session set.
 pub const MAX_SUCCESSORS: usize = 64;
-/// Lives of one name that are not closed at most.
+/// The largest number of incarnations of one name that are not closed.
 const MAX_OPEN_INCARNATIONS: usize = 8;
-/// Bytes of a name.
+/// The largest length of a name, bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A part of an estate on its way to an heir, or there.
+/// The takeover of one part of a session set by a successor.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Takeover {
-    /// Whose estate.
+    /// The director whose sessions are taken over.
     pub owner: String,
-    /// Of which life.
+    /// The incarnation of that director.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Which part, of how many.
+    /// Index of the part, from 0.
     pub part: u32,
-    /// See `part`.
+    /// Number of parts.
     pub of: u32,
-    /// Who keeps it.
+    /// Directors that hold replicas of the session set.
     #[serde(rename = "keepers")]
     pub replicas: Vec<String>,
-    /// Who takes it; nobody yet.
+    /// The successor, once one is assigned.
     #[serde(rename = "heir")]
     pub successor: Option<DirectorId>,
-    /// The heir has it.
+    /// Whether the successor has completed the takeover.
     pub done: bool,
 }
 
 /// The agreed state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OwnershipState {
-    /// The present reign; 0: none yet.
+    /// The term of the current grantor; 0: none yet.
     #[serde(rename = "reign")]
     pub grantor_term: u64,
-    /// Who reigns.
+    /// The current grantor.
     #[serde(rename = "giver")]
     pub grantor: Option<DirectorId>,
-    /// The last epoch.
+    /// The latest epoch.
     pub epoch: u64,
-    /// The latest life of each name that is closed.
+    /// The latest closed incarnation of each name.
     pub closed: BTreeMap<String, u64>,
-    /// Who keeps the estate of each life that is not closed.
+    /// The replicas of each session set whose incarnation is not closed.
     #[serde(rename = "keepers")]
     pub replicas: BTreeMap<(String, u64), Vec<String>>,
-    /// Takeovers by their epochs.
+    /// Takeovers by epoch.
     pub takeovers: BTreeMap<u64, Takeover>,
-    /// Epochs of heirs that died before they were done: what is kept under them is nobody's.
+    /// Epochs of successors that failed before completing; records kept under them belong to nobody.
     pub void: BTreeSet<u64>,
-    /// The order in which takeovers were done.
+    /// Completed takeovers in order of completion.
     done: VecDeque<u64>,
-    /// Counts the changes.
+    /// Number of changes so far.
     pub version: u64,
 }
 
 impl OwnershipState {
-    /// Takes a command as bytes; one that can't be read changes nothing.
+    /// Applies an encoded command; one that can't be decoded changes nothing.
     pub fn apply(&mut self, command: &[u8]) -> Reply {
         match postcard::from_bytes(command) {
             Ok(command) => self.take(command),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Takes a command.
+    /// Applies a command.
     pub fn take(&mut self, command: Command) -> Reply {
         let taken = match command {
             Command::BecomeGrantor { name, .. } if name.len() > MAX_NAME_BYTES => Err(Refusal::TooLong),
@@ -118,17 +120,17 @@
         }
     }
 
-    /// Whether a life is closed.
+    /// Whether an incarnation is closed.
     pub fn is_closed(&self, name: &str, incarnation: u64) -> bool {
         self.closed.get(name).is_some_and(|closed| *closed >= incarnation)
     }
 
-    /// Takeovers that wait for an heir.
+    /// Takeovers that have no successor yet.
     pub fn without_successor(&self) -> impl Iterator<Item = (u64, &Takeover)> {
         self.takeovers.iter().filter(|(_, t)| t.successor.is_none()).map(|(epoch, t)| (*epoch, t))
     }
 
-    /// The takeover by which a session of a closed life went on.
+    /// The takeover that covers a session of a closed incarnation.
     pub fn takeover_of(&self, owner: &str, incarnation: u64, id: Id) -> Option<&Takeover> {
         let of = |t: &&Takeover| t.owner == owner && t.incarnation == incarnation && part(id, t.of) == t.part;
         self.takeovers.values().find(of)
@@ -170,7 +172,7 @@
             return Err(Refusal::TooLong);
         }
         self.closed.insert(name.clone(), incarnation);
-        // What it was about to take goes to another, from the same records.
+        // Takeovers that it had not completed go to other successors, from the same records.
         let left: Vec<u64> = (self.takeovers.iter())
             .filter(|(_, t)| {
                 !t.done
@@ -184,7 +186,7 @@
                 self.begin(Takeover { successor: None, ..takeover });
             }
         }
-        // An estate that nobody kept has nothing to take.
+        // Sessions that were never replicated can't be taken over.
         let incarnations = (name.clone(), 0)..=(name.clone(), incarnation);
         let incarnations: Vec<u64> =
             self.replicas.range(incarnations).map(|((_, incarnation), _)| *incarnation).collect();
--- a/crates/continuity/src/registry.rs
+++ b/crates/continuity/src/registry.rs
@@ -1,7 +1,8 @@
-//! Viewers who come again for a paid title. Each paid session is marked at two registers, by viewer and
-//! title, before its set-up leaves. Whoever comes again is refused at once with a short hold-off while the
-//! registers are asked; a session of the same viewer and title that may run is ended first, and proven to be.
-//! The answer to a viewer never waits for any of this. Sends nothing: says what is to be sent.
+//! Guards paid titles against double set-ups by returning viewers. Each paid session is registered at two
+//! directors, chosen by viewer and title, before its set-up is sent. A returning viewer is refused at once
+//! with a short hold-off while those registers are queried; a session of the same viewer and title that may
+//! still run is ended first, and its end confirmed. The answer to a viewer never waits for this. The module
+//! sends nothing itself: it returns the messages to send.
 use crate::member::{Member, register_incarnations, registers};
 use crate::message::{Message, RegisteredSession};
 use crate::ownership::OwnershipState;
@@ -10,30 +11,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use stonewharf_core::{Micros, Request};
 
-/// Viewers and titles in the register at most.
+/// The largest number of viewer and title pairs in the register.
 const MAX_KEYS: usize = 100_000;
-/// Viewers who come again that are asked about at a time.
+/// The largest number of returning viewers that are queried at a time.
 const MAX_QUERIES: usize = 4_096;
-/// A question to registers and holders is put again after so long.
+/// Interval after which a query to registers and holders is repeated.
 const RESEND_AFTER_US: Micros = 200_000;
-/// After so long without the viewer it is given up.
+/// A query is dropped if it is not answered for this long.
 const QUERY_LIFETIME_US: Micros = 10_000_000;
-/// A viewer may be served for so long after it was asked whether anything of it runs. Registers keep the
-/// place for longer, since they count from when they answered.
+/// How long a viewer may be served after the query that found no running session. Registers keep their
+/// reservation for longer, since they count from their answer.
 const CLEARANCE_US: Micros = 2_000_000;
 const RESERVATION_US: Micros = 2_500_000;
-/// All directors have marked their paid sessions at a new register after so long: they see the same within
-/// 3 s, see docs/fleet.md.
+/// After this time all directors have registered their paid sessions at a new register: their views of the
+/// fleet agree within 3 s, see docs/fleet.md.
 pub const REGISTRATION_US: Micros = 3_500_000;
-/// Stands for the place that a register keeps for who asked, where it names a session.
+/// Stands for a reservation where a register's answer names a session.
 const RESERVATION_ID: Id = Id::MAX;
-/// How long a viewer is told to stay away meanwhile, at least and at most.
+/// The shortest and the longest time for which a returning viewer is held off meanwhile.
 const HOLD_OFF_US: (Micros, Micros) = (150_000, 400_000);
 
 /// Messages to send, each with the name of its receiver.
 pub type Outbox = Vec<(String, Message)>;
 
-/// The number of a viewer and title.
+/// The key of a viewer and title.
 pub fn key(request: &Request) -> u64 {
     mix_bits(u64::from(request.viewer.0) << 32 | u64::from(request.title.0))
 }
@@ -42,14 +43,14 @@
 struct Query {
     since: Micros,
     retry_at: Micros,
-    /// When the registers were asked whose answers are here, and under which number.
+    /// When the current query was sent, and its number.
     asked_at: Micros,
     number: u64,
-    /// Registers that answered: what, and whether they have been registers for long.
+    /// Answers by register: a session that may run, and whether the register is sure to know.
     answers: BTreeMap<String, (Option<RegisteredSession>, bool)>,
 }
 
-/// An own paid session, and where it is marked.
+/// A paid session of this director, and the registers that have it.
 #[derive(Clone, Debug)]
 struct OwnPaidSession {
     key: u64,
@@ -57,7 +58,7 @@
     at: Vec<(String, u64)>,
 }
 
-/// A place that is kept: for whom, by which question, until when.
+/// A reservation at a register: for which director, by which query, until when.
 #[derive(Clone, Debug)]
 struct Reservation {
     requester: String,
@@ -65,45 +66,45 @@
     until: Micros,
 }
 
-/// The register, and the questions of this director.
+/// The register, and the queries of this director.
 #[derive(Clone, Debug, Default)]
 pub struct PaidSessionRegistry {
     register: BTreeMap<u64, BTreeMap<Id, RegisteredSession>>,
-    /// Places that are kept for who asked first, and until when.
+    /// Reservations for the first director that queried.
     reservations: BTreeMap<u64, Reservation>,
     queries: BTreeMap<u64, Query>,
-    /// Viewers that may be served, until when; each once.
+    /// Viewers that may be served, until when and by which query; each is used once.
     clearances: BTreeMap<u64, (Micros, u64)>,
     last_number: u64,
-    /// Own paid sessions, which are marked anew where the registers change.
+    /// Paid sessions of this director, which are registered again when the registers change.
     own_sessions: BTreeMap<Id, OwnPaidSession>,
-    /// Sessions that are being ended for a viewer who came again elsewhere: who wants to know.
+    /// Sessions that are being ended for a viewer who returned elsewhere, and the directors that wait for it.
     awaiting_end: BTreeMap<Id, BTreeSet<(u64, String)>>,
 }
 
-/// What questions are answered by.
+/// What the registry works with.
 pub struct RegistryContext<'a> {
     /// The time.
     pub now: Micros,
-    /// This director's name, and the life of its estate.
+    /// This director's name, and the incarnation of its session set.
     pub me: (&'a str, u64),
-    /// The fleet.
+    /// The members of the fleet.
     pub members: &'a [Member],
-    /// The fleet as it was a little before; empty where this director had not met it yet. Marks may not have
-    /// come to a register that was none then.
+    /// Earlier views of the fleet; an empty one for the time before this director had met it. A register that
+    /// was none in an earlier view may lack registrations.
     pub earlier_views: &'a [(Micros, Vec<Member>)],
-    /// Views in which some were that are gone, and when each went, by name and life.
+    /// Views that contained members which were lost since, and when each view was replaced.
     pub loss_views: &'a [(Micros, Vec<Member>)],
-    /// See `losses`.
+    /// When each member, by name and incarnation, was lost.
     pub lost_at: &'a BTreeMap<(String, u64), Micros>,
-    /// What is agreed.
+    /// The agreed ownership.
     pub ownership: &'a OwnershipState,
 }
 
 impl PaidSessionRegistry {
-    // ---- Own paid sessions --------------------------------------------------------------------------------
+    // ---- Paid sessions of this director -------------------------------------------------------------------
 
-    /// A paid session is about to be set up, or was inherited: it is marked first.
+    /// Registers a paid session that is about to be set up or was taken over.
     pub fn register_session(
         &mut self,
         context: &RegistryContext<'_>,
@@ -123,10 +124,10 @@
             self.send(context, register, message, out);
         }
         self.own_sessions.insert(id, OwnPaidSession { key, streamer: streamer.to_owned(), at });
-        self.clearances.remove(&key); // used
+        self.clearances.remove(&key); // a clearance is used once
     }
 
-    /// It is over, and proven to be.
+    /// A session is confirmed to be over.
     pub fn session_over(&mut self, context: &RegistryContext<'_>, id: Id, out: &mut Outbox) {
         if let Some(OwnPaidSession { key, at, .. }) = self.own_sessions.remove(&id) {
             for (register, _) in at {
@@ -138,17 +139,19 @@
         }
     }
 
-    /// These are another's from here on: their marks stay as they are, and lead to the heir.
+    /// These sessions are another director's from now on: their registrations stay, and lead to the
+    /// successor.
     pub fn abandon_sessions(&mut self, ids: &[Id]) {
         ids.iter().for_each(|id| drop(self.own_sessions.remove(id)));
     }
 
-    /// Whether a session is an own paid one.
+    /// Whether a session is a paid one of this director.
     pub fn is_registered(&self, id: Id) -> bool {
         self.own_sessions.contains_key(&id)
     }
 
-    /// The fleet has changed, or the estate's life: what the registers of today lack is marked there.
+    /// The fleet or the incarnation has changed: registers the sessions at registers that lack them (`all`:
+    /// at every register).
     pub fn reregister(&mut self, context: &RegistryContext<'_>, all: bool, out: &mut Outbox) {
         let ids: Vec<Id> = self.own_sessions.keys().copied().collect();
         for id in ids {
@@ -179,9 +182,9 @@
         }
     }
 
-    // ---- Viewers who come again ---------------------------------------------------------------------------
+    // ---- Returning viewers --------------------------------------------------------------------------------
 
-    /// A viewer comes again for a paid title; true where it may be served.
+    /// A viewer returns for a paid title; true if it may be served.
     pub fn viewer_returned(&mut self, context: &RegistryContext<'_>, key: u64, out: &mut Outbox) -> bool {
         let now = context.now;
         if self.is_clear(now, key) {
@@ -197,17 +200,17 @@
         self.is_clear(now, key)
     }
 
-    /// Whether nothing of this viewer and title runs, as was found lately.
+    /// Whether a recent query found that nothing of this viewer and title runs.
     pub fn is_clear(&self, now: Micros, key: u64) -> bool {
         self.clearances.get(&key).is_some_and(|(until, _)| *until > now)
     }
 
-    /// How long a viewer stays away meanwhile.
+    /// How long a viewer is held off meanwhile; `chance` is from 0 to 1.
     pub fn hold_off_us(chance: f64) -> Micros {
         HOLD_OFF_US.0 + ((HOLD_OFF_US.1 - HOLD_OFF_US.0) as f64 * chance.clamp(0.0, 1.0)) as Micros
     }
 
-    /// Puts the question to all registers, anew.
+    /// Sends the query to all registers again, under a new number.
     fn query_registers(&mut self, context: &RegistryContext<'_>, key: u64, out: &mut Outbox) {
         let Some(query) = self.queries.get_mut(&key) else { return };
         self.last_number += 1;
@@ -220,8 +223,8 @@
         }
     }
 
-    /// All registers have answered, one of them for sure, and none knows of anything: the viewer may be
-    /// served.
+    /// Allows the viewer to be served if all registers have answered, at least one of them is sure, and none
+    /// knows of a session.
     fn try_clear(&mut self, context: &RegistryContext<'_>, key: u64) {
         let Some(query) = self.queries.get(&key) else { return };
         let at = registers(context.members, key);
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Repeats the queries that are due and drops what has expired.
     pub fn tick(&mut self, context: &RegistryContext<'_>, out: &mut Outbox) {
         let now = context.now;
         self.queries.retain(|_, a| a.since.saturating_add(QUERY_LIFETIME_US) > now);
@@ -245,14 +248,15 @@
         due.into_iter().for_each(|key| self.query_registers(context, key, out));
     }
 
-    /// When [`Claims::due`] wants to be called next.
+    /// When [`PaidSessionRegistry::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Micros {
         self.queries.values().map(|a| a.retry_at).min().unwrap_or(Micros::MAX)
     }
 
-    // ---- Words --------------------------------------------------------------------------------------------
+    // ---- Messages -----------------------------------------------------------------------------------------
 
-    /// Takes a word; the session to be ended here for a viewer who came again elsewhere, if it asks for that.
+    /// Takes a message. Returns the session that has to be ended here for a viewer who returned elsewhere, if
+    /// the message asks for that.
     pub fn receive(
         &mut self,
         context: &RegistryContext<'_>,
@@ -285,7 +289,7 @@
                 let reservation =
                     self.reservations.get(&key).filter(|p| p.requester != from && p.until > context.now);
                 let held = held.or_else(|| reservation.map(|p| reserved_session(&p.requester)));
-                // Who has just become a register may not have heard yet of all there is.
+                // A director that has just become a register may not have received all registrations yet.
                 let me = |(_, view): &(Micros, Vec<Member>)| {
                     registers(view, key).iter().any(|r| r == context.me.0)
                 };
@@ -312,7 +316,8 @@
                 }
             }
             Message::EndSession { key, ref held } if held.id == RESERVATION_ID => {
-                // The place was kept for a viewer that asks elsewhere by now, unless it has been used.
+                // The reservation was made for a viewer that asks another director by now, unless it has been
+                // used.
                 if let Some((_, number)) = self.clearances.remove(&key) {
                     for register in registers(context.members, key) {
                         self.send(context, &register, Message::WithdrawClaim { key, number }, out);
@@ -337,20 +342,21 @@
                 for register in registers(context.members, key) {
                     self.send(context, &register, Message::UnregisterSession { key, id }, out);
                 }
-                self.query_registers(context, key, out); // asked anew: there may be another one
+                self.query_registers(context, key, out); // query again: there may be another session
             }
             _ => {}
         }
         None
     }
 
-    /// Viewers and titles in the register, and viewers that are asked about.
+    /// Number of viewer and title pairs in the register, and number of queries.
     pub fn sizes(&self) -> (usize, usize) {
         (self.register.len(), self.queries.len())
     }
 }
 
-/// Whether all registers of a viewer and title were lost at about one time: then nobody can know what runs.
+/// Whether all registers of a viewer and title were lost at about the same time, so that nobody can know what
+/// runs.
 fn registers_lost(context: &RegistryContext<'_>, key: u64) -> bool {
     context.loss_views.iter().any(|(_, view)| {
         let at: Option<Vec<Micros>> = register_incarnations(view, key)
@@ -363,7 +369,7 @@
     })
 }
 
-/// The place that a register keeps for who asked first.
+/// A reservation in the form of a session.
 fn reserved_session(requester: &str) -> RegisteredSession {
     RegisteredSession {
         id: RESERVATION_ID,
@@ -373,8 +379,8 @@
     }
 }
 
-/// Who holds a session that somebody marked: that one, while its life is not closed, else its heir once that
-/// has it.
+/// The director that holds a registered session: the one that registered it, unless that incarnation is
+/// closed; otherwise its successor, once the takeover is complete.
 fn holder(context: &RegistryContext<'_>, held: &RegisteredSession) -> Option<String> {
     let (mut owner, mut incarnation) = (held.owner.clone(), held.incarnation);
     for _ in 0..8 {
--- a/crates/continuity/src/replica.rs
+++ b/crates/continuity/src/replica.rs
@@ -1,28 +1,29 @@
-//! What a director keeps of others' estates. It keeps and hands out; it never acts on any of it.
+//! Replicas of other directors' session sets. They are stored and handed out; the director never acts on
+//! them.
 use crate::message::{MAX_RECORDS, Message};
 use crate::record::{Id, Record, part};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Estates kept at most.
+/// The largest number of replicas.
 const MAX_REPLICAS: usize = 256;
-/// Sessions kept at most, of all estates.
+/// The largest number of sessions in all replicas.
 const MAX_STORED_RECORDS: usize = 100_000;
 
-/// What is kept of one life's estate.
+/// The replica of one incarnation's session set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Replica {
-    /// The owner's beginning that it is of.
+    /// The owner's replication run.
     pub run: u64,
-    /// The last batch.
+    /// The latest batch.
     pub seq: u64,
-    /// With it, this was all.
+    /// Whether the replica is complete with that batch.
     pub complete: bool,
     /// The sessions.
     pub records: BTreeMap<Id, Record>,
 }
 
-/// All that is kept of others.
+/// All replicas at this director.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaStore {
     replicas: BTreeMap<(String, u64), Replica>,
@@ -30,13 +31,13 @@
 }
 
 impl ReplicaStore {
-    /// Nothing yet.
+    /// An empty store.
     pub fn new() -> ReplicaStore {
         ReplicaStore::default()
     }
 
-    /// Takes a batch of an owner; the answer is owed to it. Without room there is none, and the owner finds
-    /// another keeper.
+    /// Applies a batch of an owner and returns the answer to it. Without room there is no answer, and the
+    /// owner chooses another replica.
     pub fn apply_batch(
         &mut self,
         owner: &str,
@@ -52,7 +53,7 @@
                 return Some(Message::ReplicaAck { incarnation, run: known, seq: last });
             }
             Some((known, last)) if (run, seq) == (known, last + 1) => {}
-            // This life begins anew; what is kept of a former one waits for its heir.
+            // A new run of this incarnation. Replicas of earlier incarnations stay for their successors.
             _ if seq == 1 => self.remove_replica(&key),
             _ => return Some(Message::ReplicaGap { incarnation, run }),
         }
@@ -73,12 +74,12 @@
         Some(Message::ReplicaAck { incarnation, run, seq })
     }
 
-    /// What is kept of an estate.
+    /// The replica of a session set.
     pub fn replica(&self, owner: &str, incarnation: u64) -> Option<&Replica> {
         self.replicas.get(&(owner.to_owned(), incarnation))
     }
 
-    /// Answers an heir's question.
+    /// Answers a successor's request for a page.
     pub fn page(
         &self,
         owner: &str,
@@ -113,19 +114,19 @@
         self.records -= self.replicas.remove(key).map_or(0, |t| t.records.len());
     }
 
-    /// Nothing more is wanted of a life and those before it.
+    /// Drops the replicas of an incarnation and of those before it.
     pub fn forget(&mut self, owner: &str, incarnation: u64) {
         let incarnations = (owner.to_owned(), 0)..=(owner.to_owned(), incarnation);
         let old: Vec<_> = self.replicas.range(incarnations).map(|(key, _)| key.clone()).collect();
         old.iter().for_each(|key| self.remove_replica(key));
     }
 
-    /// Estates and sessions that are kept.
+    /// Number of replicas, and of sessions in them.
     pub fn size(&self) -> (usize, usize) {
         (self.replicas.len(), self.records)
     }
 
-    /// Whose lives are kept.
+    /// The incarnations that have a replica here.
     pub fn incarnations(&self) -> impl Iterator<Item = (&str, u64)> {
         self.replicas.keys().map(|(owner, incarnation)| (owner.as_str(), *incarnation))
     }
--- a/crates/continuity/src/settings.rs
+++ b/crates/continuity/src/settings.rs
@@ -3,28 +3,28 @@
 use stonewharf_core::Micros;
 use stonewharf_leases::{LeaseDuration, LeaseDurationError};
 
-/// The block `continuity`. Without it sessions end with their director, as before.
+/// The block `continuity`. Without it sessions end with their director.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ContinuitySettings {
-    /// Whether any of this is in force.
+    /// Whether session continuity is on.
     pub enabled: bool,
-    /// How long a lease on an estate is, milliseconds; the same in all files. 300 to 60,000.
+    /// Duration of the lease on a session set, milliseconds; the same in all files. 300 to 60,000.
     pub lease_ms: u64,
-    /// By how much clocks here may run wrong, percent. 0 to 20.
+    /// The largest clock drift, percent. 0 to 20.
     pub drift_percent: f64,
-    /// Sessions that one heir takes of an estate before it is split further. 1 to 100,000.
+    /// Sessions per successor; a larger session set is split into more parts. 1 to 100,000.
     #[serde(rename = "heir_most")]
     pub sessions_per_successor: usize,
-    /// Sessions that this director holds at most, with those that it inherits. 1 to 1,000,000.
+    /// The largest number of sessions that this director holds, including those taken over. 1 to 1,000,000.
     #[serde(rename = "sessions_most")]
     pub max_sessions: usize,
-    /// How long viewers who come again for paid titles are turned away where all who could know whether a
-    /// session of theirs runs were lost at about one time, milliseconds. 0 to 3,600,000.
+    /// How long returning viewers of paid titles are refused if all directors that could know whether a
+    /// session of theirs still runs were lost at about the same time, milliseconds. 0 to 3,600,000.
     #[serde(rename = "unknown_ms")]
     pub unknown_hold_off_ms: u64,
-    /// Over how long sessions that an heir has no room for are released, so that their viewers do not come
-    /// again all at once, milliseconds. 0 to 60,000.
+    /// Period over which sessions that exceed a successor's capacity are released, so that their viewers do
+    /// not all return at once, milliseconds. 0 to 60,000.
     #[serde(rename = "spread_ms")]
     pub release_spread_ms: u64,
 }
@@ -43,18 +43,18 @@
     }
 }
 
-/// A setting that can't be, with the key it stands under.
+/// A setting out of range, with its key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key} {what}")]
 pub struct SettingError {
     /// The key within the block.
     pub key: &'static str,
-    /// What is wrong, and what is allowed.
+    /// What is wrong, and which values are allowed.
     pub what: String,
 }
 
 impl ContinuitySettings {
-    /// Whether all values can be used.
+    /// Checks that all values are in range.
     pub fn check(&self) -> Result<(), SettingError> {
         let wrong = |key, what: String| Err(SettingError { key, what });
         if let Err(why) = LeaseDuration::new(self.lease_ms, self.drift_percent) {
@@ -73,13 +73,13 @@
         }
     }
 
-    /// The lease on both sides; the shortest where the settings were not checked.
+    /// Duration of the lease on both sides; the shortest one if the settings were not checked.
     pub fn lease_duration(&self) -> LeaseDuration {
         let usual = LeaseDuration { holder: 297_000, grantor: 303_000 };
         LeaseDuration::new(self.lease_ms, self.drift_percent).unwrap_or(usual)
     }
 
-    /// See `spread_ms`.
+    /// See `release_spread_ms`.
     pub fn release_spread_us(&self) -> Micros {
         self.release_spread_ms.saturating_mul(1_000)
     }
--- a/crates/continuity/src/takeover.rs
+++ b/crates/continuity/src/takeover.rs
@@ -1,33 +1,33 @@
-//! One takeover at its heir: what the keepers have is fetched, handed to the heir's own keepers, and only
-//! then reported as done. Until that is agreed the heir does nothing with any of it, so that one that dies in
-//! the middle leaves everything to the next.
+//! One takeover at its successor: fetch the records from the replicas, copy them to the successor's own
+//! replicas, and only then report the takeover as complete. The successor acts on none of the sessions until
+//! that is agreed, so if it fails midway the next successor can start from the same records.
 use crate::message::Message;
 use crate::ownership::Takeover;
 use crate::record::{Id, Record};
 use std::collections::{BTreeMap, BTreeSet};
 use stonewharf_core::Micros;
 
-/// A question to a keeper is put again after so long.
+/// Interval after which a request to a replica is repeated.
 const RESEND_AFTER_US: Micros = 200_000;
-/// Keepers that have not answered by then are passed over, where another has.
+/// How long to wait for replicas that have not answered, if another one has.
 const REPLICA_TIMEOUT_US: Micros = 600_000;
-/// The same where none has: then nothing is known of the estate.
+/// How long to wait if none has answered; after that nothing is known of the sessions.
 const NO_REPLICA_TIMEOUT_US: Micros = 2_500_000;
-/// The heir's own keepers have so long to confirm before it goes on without them.
+/// How long the successor waits for its own replicas to confirm before it goes on without them.
 const ACK_TIMEOUT_US: Micros = 2_000_000;
 
-/// How far it is.
+/// Progress of a takeover.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
-    /// Keepers are asked.
+    /// Fetching the records from the replicas.
     Fetching,
-    /// Own keepers are to confirm.
+    /// Waiting for the successor's own replicas to confirm.
     Keeping,
-    /// It is reported as done, until that is agreed.
+    /// Reported as complete; waiting for that to be agreed.
     Reported,
 }
 
-/// What one keeper has sent so far.
+/// What one replica has sent so far.
 #[derive(Clone, Debug, Default)]
 struct From {
     kept: Option<(u64, bool)>,
@@ -38,23 +38,24 @@
     records: BTreeMap<Id, Record>,
 }
 
-/// What is to be done next.
+/// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Tell keepers.
+    /// Send these messages to replicas.
     Ask(Vec<(String, Message)>),
-    /// These are to be kept as the heir's own; `None` where nothing was kept of the estate.
+    /// Store these records as the successor's own. The flag tells whether the replica was complete; `None`:
+    /// no replica had anything.
     Keep(Vec<(Id, Record)>, Option<bool>),
-    /// Report it as done.
+    /// Report the takeover as complete.
     Report,
-    /// Wait.
+    /// Nothing to do now.
     Wait,
 }
 
-/// One takeover at its heir.
+/// One takeover at its successor.
 #[derive(Clone, Debug)]
 pub struct TakeoverTask {
-    /// What is taken over.
+    /// The agreed takeover.
     pub takeover: Takeover,
     step: Step,
     since: Micros,
@@ -64,18 +65,18 @@
 }
 
 impl TakeoverTask {
-    /// It begins. A keeper that is the heir itself answers like any other.
+    /// Starts a takeover. A replica at the successor itself is queried like any other.
     pub fn new(now: Micros, takeover: Takeover) -> TakeoverTask {
         let from = takeover.replicas.iter().map(|name| (name.clone(), From::default())).collect();
         TakeoverTask { takeover, step: Step::Fetching, since: now, from, ids: BTreeSet::new() }
     }
 
-    /// Takes a page of a keeper.
+    /// Takes a page from a replica.
     pub fn page(&mut self, now: Micros, replica: &str, page: Page) {
         let Some(from) = self.from.get_mut(replica).filter(|f| !f.over && f.behind == page.behind) else {
             return;
         };
-        // Pages are of one state of the table: an owner that still lives may go on changing it.
+        // Pages belong to one state of the replica: an owner that is still alive may go on changing it.
         from.answered = true;
         from.kept = page.kept;
         from.behind = page.records.last().map(|(id, _)| *id).or(from.behind);
@@ -84,12 +85,13 @@
         from.asked_at = if page.more { 0 } else { now };
     }
 
-    /// Sessions that are taken over.
+    /// The sessions that are taken over.
     pub fn ids(&self) -> &BTreeSet<Id> {
         &self.ids
     }
 
-    /// Looks what is next; `alive` tells which keepers are there, `kept` whether the heir's own have all.
+    /// Determines the next step. `alive` tells which replicas can be reached, `kept` whether the successor's
+    /// own replicas have all of the given sessions.
     pub fn look(
         &mut self,
         now: Micros,
@@ -103,7 +105,7 @@
                 Next::Report
             }
             Step::Reported if self.since.saturating_add(ACK_TIMEOUT_US) <= now => {
-                self.since = now; // the report may be lost with its leader
+                self.since = now; // the report may be lost with the leader
                 Next::Report
             }
             Step::Keeping | Step::Reported => Next::Wait,
@@ -144,16 +146,16 @@
     }
 }
 
-/// A page, without what names it.
+/// A page of records, without the fields that identify the replica.
 #[derive(Clone, Debug)]
 pub struct Page {
-    /// Of which question.
+    /// The request that it answers.
     pub behind: Option<Id>,
-    /// See [`Word::Page`].
+    /// See [`Message::ReplicaPage`].
     pub kept: Option<(u64, bool)>,
     /// The sessions.
     pub records: Vec<(Id, Record)>,
-    /// More follows.
+    /// Whether more pages follow.
     pub more: bool,
 }
 
@@ -198,7 +200,7 @@
         task.page(10, "k", page(Some((3, true)), None, &[1, 2], true));
         task.page(10, "l", page(Some((4, true)), None, &[1], false));
         assert!(matches!(task.look(20, |_| true, |_| true), Next::Ask(messages) if messages.len() == 1));
-        // A repeated page of the first question.
+        // A repeated page for the first request.
         task.page(30, "k", page(Some((3, true)), None, &[9], false));
         task.page(30, "k", page(Some((3, true)), Some(2), &[3], false));
         assert_eq!(replicated(task.look(40, |_| true, |_| true)), (vec![1], Some(true)));
--- a/crates/leases/src/duration.rs
+++ b/crates/leases/src/duration.rs
@@ -1,37 +1,37 @@
-//! How long a lease is, by the holder's clock and by the giver's.
+//! Duration of a lease, as the holder and as the grantor count it.
 use serde::{Deserialize, Serialize};
 use stonewharf_core::Micros;
 
-/// The shortest lease, milliseconds: several exchanges have to fit.
+/// The shortest lease, milliseconds: several message exchanges have to fit into it.
 const MIN_LEASE_MS: u64 = 300;
-/// The longest, milliseconds: for so long nobody takes over.
+/// The longest lease, milliseconds: no takeover can happen before it has expired.
 const MAX_LEASE_MS: u64 = 60_000;
-/// The most that a clock may be said to run wrong, percent.
+/// The largest clock drift that can be configured, percent.
 const MAX_DRIFT_PERCENT: f64 = 20.0;
 
-/// A length that can't be, and what is allowed.
+/// A lease duration or clock drift out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LeaseDurationError {
-    /// The lease.
+    /// The lease duration is out of range.
     #[error("is {0} ms; {MIN_LEASE_MS} to {MAX_LEASE_MS} is allowed, the same in all files")]
     Length(u64),
-    /// The drift.
+    /// The clock drift is out of range.
     #[error("is {0} percent; 0 to {MAX_DRIFT_PERCENT} is allowed, no less than clocks here run wrong")]
     Drift(f64),
 }
 
-/// A lease's length on both sides, microseconds.
+/// Duration of a lease on both sides, microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 pub struct LeaseDuration {
-    /// For the holder, from when it asked: shorter than stated.
+    /// For the holder, counted from the request: shorter than configured.
     pub holder: Micros,
-    /// For the giver, from when it answered: longer than stated.
+    /// For the grantor, counted from the answer: longer than configured.
     #[serde(rename = "giver")]
     pub grantor: Micros,
 }
 
 impl LeaseDuration {
-    /// Of a stated length (milliseconds), where clocks run wrong by at most so many percent.
+    /// Duration for a lease of `ms` milliseconds where clocks drift by at most `drift_percent`.
     pub fn new(ms: u64, drift_percent: f64) -> Result<LeaseDuration, LeaseDurationError> {
         if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&ms) {
             return Err(LeaseDurationError::Length(ms));
@@ -46,7 +46,7 @@
         })
     }
 
-    /// How often the holder asks anew: two answers may fail to come.
+    /// Interval between the holder's requests: two answers in a row may be lost before the lease expires.
     pub fn request_interval(self) -> Micros {
         self.holder / 3
     }
--- a/crates/leases/src/grantor.rs
+++ b/crates/leases/src/grantor.rs
@@ -1,65 +1,65 @@
-//! The giver's side, at whoever leads.
+//! The grantor's side of a lease, at the leader of the replicated log.
 use crate::duration::LeaseDuration;
 use std::collections::{BTreeMap, BTreeSet};
 use stonewharf_core::Micros;
 
-/// Questions that wait for one confirmation at most.
+/// The largest number of requests that wait for one confirmation.
 const MAX_PENDING_REQUESTS: usize = 4_096;
 
-/// A question for a lease.
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseRequest {
-    /// Who asks.
+    /// Name of the requesting director.
     pub name: String,
-    /// For which of its lives; grows.
+    /// Its incarnation; grows with each one.
     pub incarnation: u64,
-    /// Its number for the question.
+    /// The requester's number for this request.
     pub number: u64,
 }
 
-/// A lease that was given; the answer to a question.
+/// A granted lease: the request that it answers.
 pub type Grant = LeaseRequest;
 
-/// A lease may still be in force.
+/// Why an incarnation can't be closed yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseError {
-    /// This director gives no leases now.
-    #[error("this director does not give leases now; the one that leads the agreed log does")]
+    /// This director does not grant leases now.
+    #[error("this director does not grant leases now; the leader of the replicated log does")]
     NotGrantor,
-    /// Leases of the giver before this one may be in force until then.
-    #[error("leases of the giver before may run until {0} us; wait")]
+    /// Leases of an earlier grantor may be valid until this time.
+    #[error("leases of the earlier grantor may be valid until {0} us; wait")]
     EarlierGrantor(Micros),
-    /// This lease may be in force until then.
-    #[error("its lease may run until {0} us; wait")]
+    /// The lease of this incarnation may be valid until this time.
+    #[error("its lease may be valid until {0} us; wait")]
     MayBeActive(Micros),
 }
 
-/// Who gives leases, and what it has given.
+/// Grants leases and keeps track of those that may still be valid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGrantor {
     duration: LeaseDuration,
-    /// The reign, and since when it is known to be agreed.
+    /// The term, and when this grantor learned that it was agreed.
     term: Option<(u64, Micros)>,
     pending: Vec<LeaseRequest>,
-    /// Questions that wait for the confirmation that is under way.
+    /// Requests that wait for the confirmation in progress.
     confirming: Option<Vec<LeaseRequest>>,
-    /// When each life was answered last.
+    /// When a lease was last granted to each incarnation.
     granted_at: BTreeMap<(String, u64), Micros>,
-    /// Lives that get no more: they are about to be closed.
+    /// Incarnations that get no more leases because they are about to be closed.
     closing: BTreeSet<(String, u64)>,
-    /// The latest life of each name that is closed, as agreed.
+    /// The latest closed incarnation of each name, as agreed.
     closed: BTreeMap<String, u64>,
 }
 
 impl LeaseGrantor {
-    /// One that gives nothing until its reign is agreed.
+    /// A grantor that grants nothing until its term is agreed.
     pub fn new(duration: LeaseDuration) -> LeaseGrantor {
         let (pending, granted_at, closing, closed) = Default::default();
         LeaseGrantor { duration, term: None, pending, confirming: None, granted_at, closing, closed }
     }
 
-    /// Its reign is agreed, as it finds now; it was told before of all lives that are closed. What the one
-    /// before gave may still be in force.
+    /// The term of this grantor is agreed. It must have been told of all closed incarnations before. Leases
+    /// of the previous grantor may still be valid.
     pub fn begin_term(&mut self, now: Micros, number: u64) {
         if self.term.is_none_or(|(known, _)| known != number) {
             self.end_term();
@@ -67,25 +67,25 @@
         }
     }
 
-    /// It leads no more, or another reigns.
+    /// This director no longer leads, or another one is the grantor.
     pub fn end_term(&mut self) {
         let closed = std::mem::take(&mut self.closed);
         *self = LeaseGrantor { closed, ..LeaseGrantor::new(self.duration) };
     }
 
-    /// The number of its reign.
+    /// The current term.
     pub fn term(&self) -> Option<u64> {
         self.term.map(|(number, _)| number)
     }
 
-    /// Takes a question; it is answered when most voters have confirmed the lead.
+    /// Queues a request; it is answered once a majority of the voters has confirmed the leadership.
     pub fn request(&mut self, request: LeaseRequest) {
         if self.term.is_some() && self.pending.len() < MAX_PENDING_REQUESTS {
             self.pending.push(request);
         }
     }
 
-    /// Whether a confirmation is wanted now; the questions so far wait for it.
+    /// Whether a confirmation of the leadership has to be started now. All requests so far wait for it.
     pub fn begin_confirmation(&mut self) -> bool {
         if self.confirming.is_some() || self.pending.is_empty() {
             return false;
@@ -94,8 +94,8 @@
         true
     }
 
-    /// Most voters have confirmed, after the questions had come, that this director leads: leases count from
-    /// now.
+    /// A majority of the voters has confirmed this director's leadership after the requests arrived. Leases
+    /// count from now.
     pub fn confirmation_succeeded(&mut self, now: Micros) -> Vec<Grant> {
         let pending = self.confirming.take().unwrap_or_default();
         let mut grants = Vec::new();
@@ -114,22 +114,22 @@
         grants
     }
 
-    /// The confirmation failed: who asked will ask again.
+    /// The confirmation failed. The requests are dropped; their senders will retry.
     pub fn confirmation_failed(&mut self) {
         self.confirming = None;
     }
 
-    /// Whether a life's lease has run out for sure, whoever gave it. It gets no more from here on: the caller
-    /// goes on to have it closed, by a command that names this reign.
+    /// Checks that the lease of an incarnation has certainly expired, whoever granted it, and returns the
+    /// term that the command to close it has to name. The incarnation gets no more leases from here on.
     pub fn try_close(&mut self, now: Micros, name: &str, incarnation: u64) -> Result<u64, CloseError> {
         let Some((term, since)) = self.term else { return Err(CloseError::NotGrantor) };
-        // No more from here on, so that what is given ends.
+        // Refuse renewals from here on, so that the last lease expires.
         self.closing.insert((name.to_owned(), incarnation));
         let earlier_until = since.saturating_add(self.duration.grantor);
         if earlier_until > now {
             return Err(CloseError::EarlierGrantor(earlier_until));
         }
-        // Of former lives as well: a process that was replaced may still run.
+        // Earlier incarnations count as well: a process that was replaced may still be running.
         let incarnations = (name.to_owned(), 0)..=(name.to_owned(), incarnation);
         let active_until =
             self.granted_at.range(incarnations).map(|(_, at)| at.saturating_add(self.duration.grantor)).max();
@@ -139,12 +139,12 @@
         }
     }
 
-    /// A life that was about to be closed is not gone after all.
+    /// Grants leases again to an incarnation that was about to be closed and has turned out to be alive.
     pub fn cancel_close(&mut self, name: &str, incarnation: u64) {
         self.closing.remove(&(name.to_owned(), incarnation));
     }
 
-    /// A life is closed, as agreed, with all before it: they get no lease from anybody.
+    /// An incarnation and all before it are closed, as agreed; none of them gets a lease from any grantor.
     pub fn mark_closed(&mut self, name: &str, incarnation: u64) {
         let closed = self.closed.entry(name.to_owned()).or_default();
         *closed = incarnation.max(*closed);
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,16 +1,17 @@
-//! The holder's side.
+//! The holder's side of a lease.
 use crate::duration::LeaseDuration;
 use std::collections::VecDeque;
 use stonewharf_core::Micros;
 
-/// Questions that may be unanswered at a time; an older one's answer would give next to nothing.
+/// The largest number of unanswered requests; the answer to an older one would extend the lease hardly at
+/// all.
 const MAX_UNANSWERED_REQUESTS: usize = 8;
 
-/// Leave to act until a time on the holder's own clock.
+/// Permission to act until a time on the holder's own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     duration: LeaseDuration,
-    /// Questions without an answer: number, and when each was asked.
+    /// Unanswered requests: number and send time.
     unanswered: VecDeque<(u64, Micros)>,
     last_number: u64,
     valid_until: Micros,
@@ -18,17 +19,17 @@
 }
 
 impl LeaseHolder {
-    /// One that holds nothing yet, and asks at once.
+    /// A holder without a lease, which sends its first request at once.
     pub fn new(duration: LeaseDuration, now: Micros) -> LeaseHolder {
         LeaseHolder { duration, unanswered: VecDeque::new(), last_number: 0, valid_until: 0, request_at: now }
     }
 
-    /// When [`Holder::ask`] has something to do at the latest.
+    /// The latest time at which [`LeaseHolder::poll_request`] has something to do.
     pub fn next_request_at(&self) -> Micros {
         self.request_at
     }
 
-    /// The number to ask under, where it is time to ask. The time counts from here.
+    /// The number of the request to send, if one is due. The lease counts from this call.
     pub fn poll_request(&mut self, now: Micros) -> Option<u64> {
         if self.request_at > now {
             return None;
@@ -42,7 +43,7 @@
         Some(self.last_number)
     }
 
-    /// The answer to a question: leave from when that was asked.
+    /// Takes the answer to a request: the lease counts from when that request was sent.
     pub fn apply_grant(&mut self, number: u64) {
         if let Some((_, sent_at)) = self.unanswered.iter().find(|(n, _)| *n == number).copied() {
             self.valid_until = self.valid_until.max(sent_at.saturating_add(self.duration.holder));
@@ -50,17 +51,17 @@
         }
     }
 
-    /// Until when it may act.
+    /// When the lease expires.
     pub fn valid_until(&self) -> Micros {
         self.valid_until
     }
 
-    /// Whether it may act now. To be asked again as bytes go out: the process may have stood still.
+    /// Whether the lease is valid now. Check it again as bytes are written: the process may have been paused.
     pub fn is_valid(&self, now: Micros) -> bool {
         now < self.valid_until
     }
 
-    /// Gives up what it holds; answers that are under way give nothing any more.
+    /// Gives up the lease; answers still under way no longer extend it.
     pub fn relinquish(&mut self, now: Micros) {
         self.unanswered.clear();
         (self.valid_until, self.request_at) = (0, now);
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,12 +1,13 @@
-//! One kind of lease for all that needs one: leave to act until a time. The holder counts from when it
-//! **asked**, the giver from when it **answered**, and each allows for the other's clock running wrong, so
-//! that whenever the giver takes a lease for run out its holder does, too.
+//! Time-limited leases that tolerate clock drift. The holder counts its lease from when it sent the
+//! **request**, the grantor from when it **answered**, and each side allows for drift of the other's clock,
+//! so a lease that the grantor considers expired has also expired at its holder.
 //!
-//! The giver is whoever leads the agreed log, and its *reign* is agreed: a number that grows with each giver.
-//! What a giver knows of leases is in its memory alone: it gives one only when most voters have just
-//! confirmed that it leads, and a new one waits out whatever its forerunner may have given. What follows from
-//! a lease that ran out is a command that names the reign, so that one of a former reign, agreed late,
-//! changes nothing. Renewals cost no entry of the log. Owns no socket, file or clock.
+//! The grantor is the leader of the replicated log. Its *term* is agreed in that log and grows with each
+//! grantor. A grantor keeps its leases in memory only: it grants one only after a majority of the voters has
+//! just confirmed that it leads, and a new grantor waits until every lease that its predecessor may have
+//! granted has expired. The command that follows an expired lease names the term, so one from an earlier term
+//! that is committed late changes nothing. Renewals add no log entries. The crate owns no socket, file or
+//! clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/leases/tests/duration.rs
+++ b/crates/leases/tests/duration.rs
@@ -1,4 +1,4 @@
-//! Tests of `span`.
+//! Tests of `duration`.
 use stonewharf_leases::*;
 
 #[test]
--- a/crates/leases/tests/grantor.rs
+++ b/crates/leases/tests/grantor.rs
@@ -1,4 +1,4 @@
-//! Tests of `giver`.
+//! Tests of `grantor`.
 use stonewharf_leases::*;
 
 fn request(name: &str, incarnation: u64, number: u64) -> LeaseRequest {
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,47 +1,47 @@
-//! Every interleaving of one holder, two givers that lead one after the other, messages that are late or
-//! lost, a clock that runs slow and a process that stands still between its decision and its bytes: nothing
-//! goes out of a life that is closed (S6). Each planted error is found.
+//! Model check over every interleaving of one holder, two successive grantors, late and lost messages, a slow
+//! clock and a process that is paused between its decision and its write: nothing is written by a closed
+//! incarnation (S6). Each planted fault has to be found.
 use stateright::{Checker, Model, Property};
 use stonewharf_leases::{LeaseDuration, LeaseGrantor, LeaseHolder, LeaseRequest};
 
-/// Ticks are coarse, and so is the drift: the holder's clock may lose one tick of four.
+/// Ticks are coarse, and so is the drift: the holder's clock may lose one tick in four.
 const DURATION: LeaseDuration = LeaseDuration { holder: 3, grantor: 5 };
 const LAST_TICK: u64 = 7;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlantedFault {
     Nothing,
-    /// The holder counts from the answer.
+    /// The holder counts the lease from the answer.
     CountFromAnswer,
-    /// A new giver closes without waiting out the one before.
+    /// A new grantor closes an incarnation without waiting for the leases of the earlier grantor to expire.
     NoWaitForEarlierGrantor,
-    /// The holder looks when it decides, and not as its bytes go out.
+    /// The holder checks its lease when it decides, and not as it writes.
     CheckOnlyAtDecision,
-    /// A giver answers without having its lead confirmed.
+    /// A grantor answers without a confirmation of its leadership.
     NoConfirmation,
-    /// A command of a former reign is taken.
+    /// A command of an earlier term is accepted.
     AcceptAnyTerm,
-    /// A new giver does not know what is closed.
+    /// A new grantor does not know which incarnations are closed.
     UnknownClosures,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    /// How far the holder's clock is behind, and the tick at which it last fell back.
+    /// How many ticks the holder's clock has lost, and when it lost the last one.
     lost_ticks: u64,
     last_loss_at: u64,
     holder: LeaseHolder,
-    /// What the holder decided to write and has not written yet.
+    /// Whether the holder has decided to write and has not written yet.
     decided: bool,
     grantors: [LeaseGrantor; 2],
-    /// Who leads in truth, and which reign is agreed (0: none).
+    /// The actual leader, and the agreed term (0: none).
     leader: usize,
     term: u64,
     requests_sent: u8,
     requests: Vec<(usize, u64)>,
     answers: Vec<(u64, bool)>,
-    /// Commands under way that would close the life, by the reign that they name.
+    /// Commands under way that would close the incarnation, by the term that they name.
     close_commands: Vec<u64>,
     closed: bool,
     wrote_closed: bool,
@@ -97,13 +97,14 @@
     fn actions(&self, s: &State, actions: &mut Vec<Action>) {
         if s.now < LAST_TICK {
             actions.push(Action::Tick { slow: false });
-            // A quarter of the time may be lost, no more.
+            // At most a quarter of the ticks may be lost.
             if s.now >= s.last_loss_at + 4 || (s.lost_ticks == 0 && s.now > 0) {
                 actions.push(Action::Tick { slow: true });
             }
         }
         if s.requests.is_empty() && s.requests_sent < 2 && s.holder.next_request_at() <= s.clock() {
-            actions.extend((0..=s.leader).map(Action::SendRequest)); // it may still take the former for the leader
+            // the holder may still take the earlier grantor for the leader
+            actions.extend((0..=s.leader).map(Action::SendRequest));
         }
         actions.extend((0..s.requests.len()).map(Action::Deliver));
         actions.extend((0..2).map(Action::Confirm));
@@ -145,7 +146,7 @@
                     return None;
                 }
                 if g != s.leader && self.0 != PlantedFault::NoConfirmation {
-                    s.grantors[g].confirmation_failed(); // most voters follow the other
+                    s.grantors[g].confirmation_failed(); // a majority of the voters follows the other one
                     return Some(s);
                 }
                 let grants = s.grantors[g].confirmation_succeeded(s.now);
@@ -154,7 +155,7 @@
             Action::Answer(i) => {
                 let (number, _) = s.answers.remove(i);
                 if self.0 == PlantedFault::CountFromAnswer {
-                    // As if the question had been asked when its answer came.
+                    // As if the request had been sent when its answer arrived.
                     let mut anew = LeaseHolder::new(DURATION, s.clock());
                     let number = anew.poll_request(s.clock())?;
                     anew.apply_grant(number);
@@ -168,7 +169,7 @@
             Action::ChangeLeader => {
                 (s.leader, s.term) = (1, 2);
                 if s.closed && self.0 != PlantedFault::UnknownClosures {
-                    s.grantors[1].mark_closed("d", 1); // it has applied all that is agreed
+                    s.grantors[1].mark_closed("d", 1); // it has applied all committed commands
                 }
                 let since = if self.0 == PlantedFault::NoWaitForEarlierGrantor { 0 } else { s.now };
                 s.grantors[1].begin_term(since, 2);
