--- a/crates/continuity/tests/world/mod.rs
+++ b/crates/continuity/tests/world/mod.rs
@@ -95,8 +95,7 @@
 
 pub fn coordinator(i: usize, incarnation: u64, now: Micros) -> SharedCoordinator {
     let names = ["paid".to_owned(), "free".to_owned()];
-    let me =
-        LocalDirector { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation: incarnation };
+    let me = LocalDirector { name: format!("d{i}"), hall: ["a", "b"][i % 2].into(), incarnation };
     let set = ContinuitySettings { sessions_per_successor: 20, ..ContinuitySettings::default() };
     let mut coordinator = Coordinator::new(set, &settings(), &names, me, now);
     coordinator.set_streamer_names([(StreamerId(0), "s0".to_owned())]);
--- a/src/net/estate.rs
+++ b/src/net/estate.rs
@@ -1,25 +1,27 @@
-//! What one process of a director leaves to the next in the folder they share: the rungs of the sessions that
-//! stand. It owns the file; whether there is an heir, and what is made of it, is decided elsewhere.
+//! The hand-over file between two processes of a director, in a shared folder: the rungs of the established
+//! sessions. This module owns the file; whether there is a successor, and what becomes of the contents, is
+//! decided elsewhere.
 //!
-//! A file is whole or not there: written beside its place and moved onto it. It is taken once, and removed.
+//! A file is complete or absent: it is written under a temporary name and renamed. It is read once, and
+//! removed.
 use crate::interface::RequestId;
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The form of the file. Another one is not read.
+/// Version of the file's format; files of another version are not read.
 const FORM: u8 = 1;
-/// Sessions that are left at most, and with them the file's size.
+/// The largest number of sessions, and the largest file that is read.
 const SESSIONS_MOST: usize = 65_536;
 const BYTES_MOST: u64 = 1 << 20;
 
-/// Why nothing could be left, or taken over. Sessions go on all the same, at rungs that have to be found out.
+/// Why nothing could be written or read. Sessions go on regardless, at rungs that have to be found out again.
 #[derive(Debug, thiserror::Error)]
 pub enum EstateError {
     /// The folder or file can't be used.
     #[error("{0}: {1}; both processes need $TMPDIR, with room for a megabyte")]
     File(PathBuf, io::Error),
-    /// What stands in the file is not of this form.
+    /// The contents are not of this format.
     #[error("{0} can't be read as form {FORM}; was the process before this one of another version?")]
     Form(PathBuf),
 }
@@ -30,13 +32,13 @@
     sessions: Vec<(u64, u8)>,
 }
 
-/// Where a director's processes leave it, by the director's name.
+/// The path of the file, from the director's name.
 pub fn file_path(folder: &Path, name: &str) -> PathBuf {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     folder.join(format!("stonewharf-{}.estate", name.chars().map(plain).collect::<String>()))
 }
 
-/// Leaves it.
+/// Writes the file.
 pub fn write(place: &Path, sessions: &[(RequestId, usize)]) -> Result<(), EstateError> {
     let sessions = sessions.iter().take(SESSIONS_MOST);
     let sessions = sessions.map(|(id, rung)| (id.0, u8::try_from(*rung).unwrap_or(u8::MAX))).collect();
@@ -44,12 +46,12 @@
     let beside = place.with_extension(format!("{}", std::process::id()));
     let moved = std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, place));
     moved.map_err(|why| {
-        let _ = std::fs::remove_file(&beside); // it may not be there
+        let _ = std::fs::remove_file(&beside); // it may not exist
         EstateError::File(place.to_owned(), why)
     })
 }
 
-/// Takes it over; nothing where nothing was left.
+/// Reads the file and removes it; empty if there is none.
 pub fn take(place: &Path) -> Result<Vec<(RequestId, usize)>, EstateError> {
     let error = |why| EstateError::File(place.to_owned(), why);
     let length = match std::fs::metadata(place) {
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -1,6 +1,6 @@
-//! Sessions that outlive their director, at the loop: hands words, what is agreed, who is there and the time
-//! to this director's part (`stonewharf-continuity`), and carries out what that wants done. Exists only where
-//! the block `continuity` is on. Decides nothing; no viewer's answer waits for it.
+//! Session continuity in the event loop: feeds messages, the agreed ownership, the fleet's members and the
+//! time to the coordinator (`stonewharf-continuity`) and carries out its actions. Exists only where the block
+//! `continuity` is on. It decides nothing, and no answer to a viewer waits for it.
 use super::Node;
 use super::clock::Clock;
 use super::peers::Peers;
@@ -18,11 +18,11 @@
 };
 use stonewharf_fleet::{Phase, Standing};
 
-/// Nobody's connection: inherited sessions came on none.
+/// Link of sessions that were taken over: they have no viewer connection here.
 const NO_LINK: ViewerLink = ViewerLink(usize::MAX);
 
-/// Whether this director may act on a session, at the moment at which it is asked: bytes that were decided on
-/// before this process stood still must not go out after.
+/// Tells whether this director may act on a session, checked as bytes are written: what was decided before
+/// this process was paused must not be sent afterwards.
 #[derive(Clone)]
 pub struct ActPermission {
     coordinator: Rc<RefCell<Coordinator>>,
@@ -30,57 +30,57 @@
 }
 
 impl ActPermission {
-    /// Whether what is to be done to a session by this director's own will may go out now.
+    /// Whether an act on the session, on this director's own initiative, may be sent now.
     pub fn may_act(&self, session: RequestId) -> bool {
         self.coordinator.borrow().may_act(self.clock.now(), session.0)
     }
 }
 
-/// What is to be agreed.
+/// What the replicated log has to agree on.
 #[derive(Default)]
 pub struct ToAgree {
-    /// Commands.
+    /// Commands to propose.
     pub commands: Vec<Command>,
-    /// The lead is to be confirmed.
+    /// Whether the leadership has to be confirmed.
     pub confirm_leadership: bool,
 }
 
-/// This director's part at the loop.
+/// The coordinator in the event loop.
 pub struct ContinuityDriver {
     coordinator: SharedCoordinator,
     version: Option<u64>,
     messages: Vec<(String, Vec<u8>)>,
-    /// What the node has to do.
+    /// Actions for the node to carry out.
     actions: Vec<Action>,
 }
 
 impl ContinuityDriver {
-    /// The part of one director.
+    /// The driver of one coordinator.
     pub fn new(coordinator: SharedCoordinator) -> ContinuityDriver {
         ContinuityDriver { coordinator, version: None, messages: Vec::new(), actions: Vec::new() }
     }
 
-    /// What is asked as bytes go out.
+    /// The permission to check as bytes are written.
     pub fn act_permission(&self, clock: Clock) -> ActPermission {
         ActPermission { coordinator: Rc::clone(&self.coordinator.0), clock }
     }
 
-    /// Takes a word; false where it can't be read.
+    /// Takes an encoded message; false if it can't be decoded.
     pub fn receive(&mut self, now: Micros, from: &str, message: &[u8]) -> bool {
         self.coordinator.0.borrow_mut().receive_bytes(now, from, message).is_ok()
     }
 
-    /// The answer to a question for confirmation.
+    /// The result of a leadership confirmation.
     pub fn leadership_confirmed(&mut self, now: Micros, confirmed: bool) {
         self.coordinator.0.borrow_mut().leadership_confirmed(now, confirmed);
     }
 
-    /// When [`Hands::turned`] wants to be called next.
+    /// When [`ContinuityDriver::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Micros {
         self.coordinator.0.borrow().next_tick_at()
     }
 
-    /// Tells its part what there is to tell; returns what is to be agreed.
+    /// Feeds the current state to the coordinator; returns what has to be agreed.
     pub fn tick(
         &mut self,
         shared: &Shared,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What is to be said; what is to be agreed waits for the end of the turn.
+    /// Messages to send now; other actions wait for the end of the turn.
     pub fn take_messages(&mut self) -> Vec<(String, Vec<u8>)> {
         let actions = self.coordinator.0.borrow_mut().take_actions();
         let mut kept = Vec::new();
@@ -129,7 +129,7 @@
     }
 }
 
-/// The fleet, as far as estates go.
+/// The fleet's members, as the coordinator needs them.
 fn members(peers: &Peers, shared: &Shared) -> Vec<Member> {
     let of = |m: stonewharf_fleet::MemberView| {
         let in_fleet = m.standing == Standing::In;
@@ -144,14 +144,14 @@
         self.agreed.as_ref()?.hands.as_ref().map(|driver| driver.coordinator.clone())
     }
 
-    /// A viewer's set-up came: what an heir would have to know of it.
+    /// A set-up request arrived: notes what a successor would have to know of it.
     pub(super) fn continuity_note_request(&mut self, id: u64, summary: impl FnOnce() -> RequestSummary) {
         if let Some(coordinator) = self.coordinator() {
             coordinator.0.borrow_mut().note_request(id, summary());
         }
     }
 
-    /// The list's news: names of streamers, and whose processes are new or gone.
+    /// Discovery news: names of streamers, and streamers that were restarted or are gone.
     pub(super) fn continuity_streamers_listed(&mut self, now: Micros, listed: &[(StreamerId, bool)]) {
         let Some(coordinator) = self.coordinator() else { return };
         let mut coordinator = coordinator.0.borrow_mut();
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Looks through what came in, ahead of the core: what another director's heir must hear, proofs, and
-    /// losses of streamers that a director without a lease must not act on.
+    /// Filters the inputs ahead of the core: session ends that another director's successor has to receive,
+    /// confirmations of ends, and losses of streamers that a director without a lease must not act on.
     pub(super) fn continuity_inputs(&mut self, inputs: &mut Vec<Input>) {
         let Some(coordinator) = self.coordinator() else { return };
         let mut coordinator = coordinator.0.borrow_mut();
@@ -193,26 +193,26 @@
         });
     }
 
-    /// Sends what has to leave ahead of the core's deeds.
+    /// Sends the messages that have to leave before the core's outputs.
     pub(super) fn continuity_send(&mut self) {
         if let (Some(agreed), Some(peers)) = (&mut self.agreed, &mut self.parts.peers) {
             agreed.say_of_estates(&mut self.shared, peers);
         }
     }
 
-    /// This director leaves: it hands its estate over.
+    /// This director leaves: it hands its sessions over.
     pub(super) fn continuity_leave(&mut self) {
         if let Some(coordinator) = self.coordinator() {
             coordinator.0.borrow_mut().leave(self.shared.now);
         }
     }
 
-    /// Whether what stands is left to heirs at the end.
+    /// Whether successors take over the established sessions at the end.
     pub(super) fn has_successors(&self) -> bool {
         self.coordinator().is_some()
     }
 
-    /// Carries out what this director's part wants done.
+    /// Carries out the coordinator's actions.
     pub(super) fn continuity_actions(&mut self) {
         let driver = self.agreed.as_mut().and_then(|agreed| agreed.hands.as_mut());
         let actions = driver.map(|driver| std::mem::take(&mut driver.actions)).unwrap_or_default();
@@ -245,13 +245,13 @@
                 Action::MisroutedEnd(id, streamer, what) => {
                     self.apply_misrouted_end(RequestId(id), &streamer, what)
                 }
-                Action::Log(news) => log_event(&self.shared, &news),
-                Action::Send(..) | Action::Propose(_) | Action::ConfirmLeadership => {} // gathered before
+                Action::Log(event) => log_event(&self.shared, &event),
+                Action::Send(..) | Action::Propose(_) | Action::ConfirmLeadership => {} // handled in `gather`
             }
         }
     }
 
-    /// An inherited session enters the core as what is handed over at a start.
+    /// A session that was taken over enters the core like one that is handed over at a start.
     fn adopt(&mut self, id: u64, record: &Record) {
         let summary = &record.summary;
         let wanted = NamedRequest {
@@ -273,13 +273,13 @@
                 self.shared.inputs.push(Input::Playing { link: NO_LINK, request, streamer });
             }
             Err(why) => {
-                warn!(self.shared.log, "an inherited session can't be taken: {why}; do all directors \
+                warn!(self.shared.log, "a session can't be taken over: {why}; do all directors \
                 have the same settings?"; "session" => format!("{id:016x}"))
             }
         }
     }
 
-    /// Another director heard something on a session of this one.
+    /// Another director received the end of one of this director's sessions.
     fn apply_misrouted_end(&mut self, session: RequestId, streamer: &str, what: EndKind) {
         let Some(streamer) = self.names.streamers.get(streamer).map(StreamerId) else { return };
         let why = match what {
@@ -293,24 +293,24 @@
     }
 }
 
-/// One line for what has changed; the keys are stable, see docs/operators/continuity.md.
-fn log_event(shared: &Shared, news: &LogEvent) {
+/// Logs an event in one line; the keys are stable, see docs/operators/continuity.md.
+fn log_event(shared: &Shared, event: &LogEvent) {
     let (log, now) = (&shared.log, shared.now);
     let hex = |id: &u64| format!("{id:016x}");
-    match news {
+    match event {
         LogEvent::LeaseAcquired(incarnation) => {
-            info!(log, "estate: leased"; "at_us" => now, "life" => incarnation)
+            info!(log, "continuity: lease acquired"; "at_us" => now, "life" => incarnation)
         }
         LogEvent::LeaseExpired(sessions) => {
-            warn!(log, "estate: the lease ran out, its sessions are not acted on"; "at_us" => now,
+            warn!(log, "continuity: the lease expired; the sessions are not acted on"; "at_us" => now,
                 "sessions" => sessions);
         }
         LogEvent::HandedOver(incarnation, sessions) => {
-            warn!(log, "estate: laid down, it is another's"; "at_us" => now, "life" => incarnation,
+            warn!(log, "continuity: the session set was handed over to other directors"; "at_us" => now, "life" => incarnation,
                 "sessions" => sessions);
         }
         LogEvent::TakeoverStarted(owner, incarnation, epoch) => {
-            info!(log, "estate: takes over"; "at_us" => now,
+            info!(log, "continuity: takeover started"; "at_us" => now,
             "owner" => owner, "life" => incarnation, "epoch" => epoch)
         }
         LogEvent::TakeoverDone { owner, epoch, sessions, out, complete } => {
@@ -319,25 +319,27 @@
                 Some(false) => "some",
                 None => "nothing",
             };
-            info!(log, "estate: taken over"; "at_us" => now, "owner" => owner, "epoch" => epoch,
+            info!(log, "continuity: takeover complete"; "at_us" => now, "owner" => owner, "epoch" => epoch,
                 "sessions" => sessions, "out" => out, "kept" => kept);
         }
         LogEvent::ReplicasChosen(names) => {
-            info!(log, "estate: keepers"; "at_us" => now, "keepers" => names.join(" "));
+            info!(log, "continuity: replicas chosen"; "at_us" => now, "keepers" => names.join(" "));
         }
         LogEvent::ReplicaLags(name) => {
-            warn!(log, "estate: a keeper lags, another is asked"; "at_us" => now, "keeper" => name);
+            warn!(log, "continuity: a replica lags behind; another one is chosen"; "at_us" => now, "keeper" => name);
         }
         LogEvent::GrantorTermStarted(grantor_term) => {
-            info!(log, "estate: gives leases"; "at_us" => now, "reign" => grantor_term)
+            info!(log, "continuity: this director grants leases"; "at_us" => now, "reign" => grantor_term)
         }
         LogEvent::Closing(name, incarnation) => {
-            info!(log, "estate: closes a life"; "at_us" => now, "owner" => name,
+            info!(log, "continuity: closing an incarnation"; "at_us" => now, "owner" => name,
             "life" => incarnation)
         }
-        LogEvent::EndConfirmed(id) => debug!(log, "estate: an attempt is settled"; "session" => hex(id)),
+        LogEvent::EndConfirmed(id) => {
+            debug!(log, "continuity: the end of a session is confirmed"; "session" => hex(id))
+        }
         LogEvent::EndUnconfirmed(id) => {
-            warn!(log, "estate: an attempt can't be settled, its streamer does not answer"; "at_us" => now,
+            warn!(log, "continuity: the end of a session can't be confirmed; its streamer does not answer"; "at_us" => now,
                 "session" => hex(id));
         }
     }
--- a/src/net/lives.rs
+++ b/src/net/lives.rs
@@ -1,19 +1,21 @@
-//! The number of this life of a director among its peers: larger than all before it, by the clock, and where
-//! a folder outlives the process also if the clock was set back. Read and written once, before the loop.
+//! The incarnation number of a director among its peers: larger than all before it by the clock, and with a
+//! folder that outlives the process also if the clock was set back. Read and written once, before the event
+//! loop.
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// The file that keeps the last life's number.
+/// The file that keeps the number of the last incarnation.
 const FILE: &str = "fleet-life";
 
-/// The number of a life that begins at a Unix time; with a folder, it is kept there before it is used.
+/// The number of an incarnation that starts at a Unix time; with a folder, it is stored there before it is
+/// used.
 pub fn next_incarnation(folder: Option<&Path>, unix_us: u64) -> io::Result<u64> {
     let Some(folder) = folder else { return Ok(unix_us) };
     fs::create_dir_all(folder)?;
     let path = folder.join(FILE);
     let last = match fs::read_to_string(&path) {
-        Ok(text) => text.trim().parse::<u64>().unwrap_or(0), // damaged: the clock alone has to do
+        Ok(text) => text.trim().parse::<u64>().unwrap_or(0), // damaged: only the clock is left
         Err(why) if why.kind() == io::ErrorKind::NotFound => 0,
         Err(why) => return Err(why),
     };
--- a/src/net/narrowed.rs
+++ b/src/net/narrowed.rs
@@ -1,7 +1,7 @@
-//! What only narrows, kept from one life of a director to the next: the streamers that are closed by what is
-//! agreed. Until a director that has just started, or is cut off from all voters, hears what is agreed, it
-//! acts on this; a file that is damaged or of another form says nothing. Written by a thread of its own for
-//! each change, since a disk may stall and the loop must not.
+//! Stores the streamers that are closed by agreement, across restarts of a director. A director that has just
+//! started, or that is cut off from all voters, applies the stored restrictions until it receives the agreed
+//! state; a file that is damaged or of another format is ignored. A thread of its own writes each change,
+//! since a disk may stall and the event loop must not.
 use slog::{Logger, warn};
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -9,28 +9,28 @@
 use std::sync::mpsc::{Sender, channel};
 use std::thread;
 
-/// The file in the director's folder.
+/// Name of the file in the director's folder.
 const FILE: &str = "narrowed";
-/// The form of the file, its first line.
+/// Format and version, at the start of the first line.
 const FORM: &str = "stonewharf-narrowed 1";
 /// The largest file that is read, bytes.
 const BYTES_MOST: u64 = 1 << 20;
 
-/// What is kept, and who writes it.
+/// The stored names, and the thread that writes them.
 pub struct Narrowed {
     last: Vec<String>,
     writer: Sender<Vec<String>>,
 }
 
 impl Narrowed {
-    /// What was kept in a folder, and a keeper of what comes.
+    /// Reads the names from a folder, and starts the thread that writes later changes.
     pub fn open(folder: &Path, log: Logger) -> (Narrowed, Vec<String>) {
         let path = folder.join(FILE);
         let kept = read(&path).unwrap_or_default();
         let (writer, changes) = channel::<Vec<String>>();
         thread::spawn(move || {
             while let Ok(mut names) = changes.recv() {
-                names = changes.try_iter().last().unwrap_or(names); // the latest alone counts
+                names = changes.try_iter().last().unwrap_or(names); // only the latest counts
                 if let Err(why) = write(&path, &names) {
                     warn!(log, "what is closed can't be kept for the next start: {why}; mend the folder";
                         "file" => path.display().to_string());
@@ -40,11 +40,11 @@
         (Narrowed { last: kept.clone(), writer }, kept)
     }
 
-    /// These are closed now.
+    /// Sets the closed streamers.
     pub fn keep(&mut self, names: Vec<String>) {
         if self.last != names {
             self.last.clone_from(&names);
-            let _ = self.writer.send(names); // its thread ends with the process alone
+            let _ = self.writer.send(names); // the thread ends only with the process
         }
     }
 }
@@ -57,7 +57,7 @@
     let mut lines = text.lines();
     let count: usize = lines.next()?.strip_prefix(FORM)?.trim().parse().ok()?;
     let names: Vec<String> = lines.map(str::to_owned).collect();
-    (names.len() == count).then_some(names) // one that was cut says nothing
+    (names.len() == count).then_some(names) // a truncated file is ignored
 }
 
 fn write(path: &Path, names: &[String]) -> io::Result<()> {
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -1,5 +1,6 @@
-//! The thread of a voter's folder: batches go in, and what is safe comes back. The loop never waits for the
-//! disk. Exists only where something is agreed and a folder is set. Decides nothing.
+//! The thread that writes a voter's folder: batches go in, and the stamps of stored batches come back, so the
+//! event loop never waits for the disk. Exists only where the replicated log is on and a folder is set. It
+//! decides nothing.
 use super::poll::Waker;
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -7,17 +8,18 @@
 use stonewharf_agreement::{Batch, Kept};
 use stonewharf_store::{Store, StoreError};
 
-/// Batches that are stored by one write at most.
+/// The largest number of batches in one write.
 const TOGETHER_MOST: usize = 64;
 
-/// A voter's folder, on a thread of its own. The thread ends with this, after what it was given.
+/// A voter's folder, with a thread of its own. The thread ends with this value, after it has written what it
+/// was given.
 pub struct StoreThread {
     batches: Sender<Batch>,
     safe: Receiver<Result<u64, StoreError>>,
 }
 
 impl StoreThread {
-    /// Opens the folder, before the loop, and tells what it holds.
+    /// Opens the folder, before the event loop, and returns its contents.
     pub fn start(folder: &Path, waker: Waker) -> Result<(StoreThread, Kept), StoreError> {
         let store = Store::open(folder)?;
         let kept = store.load()?;
@@ -31,12 +33,12 @@
         Ok((StoreThread { batches, safe }, kept))
     }
 
-    /// Stores a batch, in its turn. It comes back by [`StoreThread::safe`].
+    /// Queues a batch to be stored. Its stamp comes back by [`StoreThread::results`].
     pub fn store(&self, batch: Batch) {
-        let _ = self.batches.send(batch); // a thread that has ended has told why
+        let _ = self.batches.send(batch); // a thread that has ended has reported why
     }
 
-    /// Stamps up to which all is safe, or why the folder can't be written any more.
+    /// The latest stored stamps, or why the folder can't be written any more.
     pub fn safe(&self) -> impl Iterator<Item = Result<u64, StoreError>> + '_ {
         self.safe.try_iter()
     }
@@ -48,7 +50,7 @@
         batches.extend(given.try_iter().take(TOGETHER_MOST - 1));
         let stamp = batches.last().map_or(0, |batch| batch.stamp);
         let written = store.write(&batches);
-        let over = written.is_err(); // what comes after a batch that is not there must not be stored
+        let over = written.is_err(); // what follows a batch that was not stored must not be stored either
         if told.send(written.map(|()| stamp)).is_err() || over {
             waker.wake();
             return;
