--- a/crates/continuity/src/member.rs
+++ b/crates/continuity/src/member.rs
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn one_keeper_is_of_another_hall_nobody_keeps_for_itself_and_few_move_when_one_goes() {
+    fn one_replica_is_in_another_hall_none_at_the_owner_and_a_loss_moves_no_others() {
         let all = fleet(60);
         let mut moved = 0;
         for m in &all {
@@ -71,7 +71,7 @@
             moved += usize::from(after != of && !of.contains(&"d7".to_owned()));
             assert!(!select_replicas(&all, &m.name, &m.hall, &of).iter().any(|k| of.contains(k)));
         }
-        assert_eq!(moved, 0, "one that goes moves only what it kept");
+        assert_eq!(moved, 0, "a lost member moves only its own replicas");
         assert_eq!(select_replicas(&fleet(1), "d0", "a", &[]), Vec::<String>::new());
         assert_eq!(registers(&all, 5).len(), 2);
     }
--- a/crates/continuity/src/message.rs
+++ b/crates/continuity/src/message.rs
@@ -254,7 +254,7 @@
     use crate::record::{RequestSummary, Stage};
 
     #[test]
-    fn what_is_too_large_or_damaged_is_refused() {
+    fn oversized_and_damaged_messages_are_refused() {
         let record = Record {
             summary: RequestSummary { title: "t".repeat(300), ..RequestSummary::default() },
             streamer: "s".into(),
--- a/crates/continuity/src/own_sessions.rs
+++ b/crates/continuity/src/own_sessions.rs
@@ -202,7 +202,7 @@
 
     /// Messages are lost, repeated and reordered; once that ends the replica equals the owner's set.
     #[test]
-    fn a_keeper_has_what_the_owner_has_once_the_way_is_clear() {
+    fn a_replica_equals_the_owners_sessions_once_messages_arrive_reliably() {
         let (mut owner, mut store) = (OwnSessions::new(7), ReplicaStore::new());
         owner.set_replicas(&["k".to_owned()]);
         let mut random = 1_u64;
@@ -253,7 +253,7 @@
                 }
             }
         }
-        let replica = store.replica("d", 7).expect("kept");
+        let replica = store.replica("d", 7).expect("a replica");
         assert_eq!(replica.records, *owner.records());
         assert!(replica.complete && owner.unreplicated() == 0 && !owner.records().is_empty());
         let all: BTreeSet<Id> = owner.records().keys().copied().collect();
@@ -263,14 +263,14 @@
     }
 
     #[test]
-    fn a_keeper_that_says_nothing_lags_and_one_that_is_replaced_is_sent_everything() {
+    fn a_silent_replica_lags_and_its_replacement_is_sent_everything() {
         let mut owner = OwnSessions::new(7);
         owner.change(1, Some(record("s")));
         owner.set_replicas(&["k".to_owned()]);
         assert_eq!(owner.take_due_batches(1_000_000).len(), 1);
         assert!(
             owner.take_due_batches(1_100_000).is_empty() && owner.take_due_batches(1_200_000).len() == 1,
-            "again after a while"
+            "sent again after a while"
         );
         assert!(owner.lagging(3_900_000).is_empty());
         assert_eq!(owner.lagging(4_000_000), vec!["k"]);
--- a/crates/continuity/src/ownership.rs
+++ b/crates/continuity/src/ownership.rs
@@ -272,7 +272,7 @@
     }
 
     #[test]
-    fn a_life_is_closed_once_and_only_by_who_reigns() {
+    fn an_incarnation_is_closed_once_and_only_by_the_current_grantor() {
         let mut state = with_estate();
         assert_eq!(
             state.take(Command::BecomeGrantor { name: "d9".into(), incarnation: 1 }),
@@ -293,7 +293,7 @@
     }
 
     #[test]
-    fn an_heir_that_dies_is_followed_under_a_later_epoch_and_what_it_began_is_void() {
+    fn a_failed_successor_is_replaced_under_a_later_epoch_and_its_epoch_is_void() {
         let mut state = with_estate();
         close(&mut state, 1, "d3", 5, vec![successor("d1", 1), successor("d2", 1)]);
         let epochs: Vec<u64> = state.takeovers.keys().copied().collect();
@@ -303,10 +303,13 @@
         );
         let early =
             Command::AssignSuccessor { grantor_term: 1, epoch: epochs[0], successor: successor("d4", 1) };
-        assert_eq!(state.take(early), Reply::Refused(Refusal::NoOpenTakeover), "its heir lives");
+        assert_eq!(state.take(early), Reply::Refused(Refusal::NoOpenTakeover), "its successor is alive");
         close(&mut state, 1, "d1", 1, vec![]);
         close(&mut state, 1, "d2", 1, vec![]);
-        assert!(state.void.contains(&epochs[0]) && !state.void.contains(&epochs[1]), "what is done stays");
+        assert!(
+            state.void.contains(&epochs[0]) && !state.void.contains(&epochs[1]),
+            "a completed takeover stays"
+        );
         let late = Command::Complete { epoch: epochs[0], successor: successor("d1", 1) };
         assert_eq!(state.take(late), Reply::Refused(Refusal::NoOpenTakeover));
         let open: Vec<u64> = state.without_successor().map(|(epoch, _)| epoch).collect();
@@ -320,7 +323,7 @@
     }
 
     #[test]
-    fn each_life_of_a_name_that_is_closed_together_is_taken_over() {
+    fn all_incarnations_closed_by_one_command_are_taken_over() {
         let mut state = with_estate();
         let replicas = vec!["d4".into()];
         state.take(Command::SetReplicas { name: "d3".into(), incarnation: 8, replicas });
@@ -334,7 +337,7 @@
     }
 
     #[test]
-    fn what_is_too_long_or_unreadable_changes_nothing() {
+    fn oversized_and_undecodable_commands_change_nothing() {
         let mut state = with_estate();
         let before = state.clone();
         assert_eq!(state.apply(b"\xff\xff"), Reply::Refused(Refusal::Unreadable));
--- a/crates/continuity/src/replica.rs
+++ b/crates/continuity/src/replica.rs
@@ -138,7 +138,7 @@
     use crate::record::{RequestSummary, Stage};
 
     #[test]
-    fn pages_are_bounded_split_by_part_and_leave_nobody_out() {
+    fn pages_are_bounded_split_by_part_and_complete() {
         let mut store = ReplicaStore::new();
         let record = Record {
             summary: RequestSummary::default(),
@@ -180,10 +180,14 @@
         assert!(matches!(store.page("d", 8, 0, 1, None), Message::ReplicaPage { kept: None, .. }));
         assert!(
             matches!(store.apply_batch("d", 7, (1, 10), true, vec![]), Some(Message::ReplicaGap { .. })),
-            "one is missing"
+            "a batch is missing"
         );
         assert!(matches!(store.apply_batch("d", 8, (1, 1), true, vec![]), Some(Message::ReplicaAck { .. })));
-        assert_eq!(store.size(), (2, 1_200), "a later life leaves the former one's to its heir");
+        assert_eq!(
+            store.size(),
+            (2, 1_200),
+            "the replica of the earlier incarnation stays for its successor"
+        );
         store.forget("d", 7);
         assert_eq!(store.size(), (1, 0));
     }
--- a/crates/continuity/src/settings.rs
+++ b/crates/continuity/src/settings.rs
@@ -90,7 +90,7 @@
     use super::*;
 
     #[test]
-    fn what_cannot_be_is_named_with_what_is_allowed() {
+    fn a_value_out_of_range_is_named_with_its_allowed_range() {
         assert_eq!(ContinuitySettings::default().check(), Ok(()));
         let set = ContinuitySettings { lease_ms: 5, ..Default::default() };
         let why = set.check().expect_err("too short").to_string();
--- a/crates/continuity/src/takeover.rs
+++ b/crates/continuity/src/takeover.rs
@@ -194,7 +194,7 @@
     }
 
     #[test]
-    fn the_later_of_two_keepers_counts_and_pages_are_fetched_one_after_the_other() {
+    fn the_later_of_two_replicas_counts_and_pages_are_fetched_in_order() {
         let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
         assert!(matches!(task.look(0, |_| true, |_| true), Next::Ask(messages) if messages.len() == 2));
         task.page(10, "k", page(Some((3, true)), None, &[1, 2], true));
@@ -211,7 +211,7 @@
     }
 
     #[test]
-    fn a_silent_keeper_is_passed_over_and_with_none_left_nothing_is_known() {
+    fn a_silent_replica_is_skipped_and_without_any_nothing_is_known() {
         let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
         let _ = task.look(0, |_| true, |_| true);
         task.page(10, "l", page(Some((4, false)), None, &[1], false));
@@ -222,6 +222,6 @@
         let mut task = TakeoverTask::new(0, takeover(&["k"]));
         let _ = task.look(0, |_| true, |_| true);
         task.page(10, "k", page(None, None, &[], false));
-        assert_eq!(replicated(task.look(20, |_| true, |_| true)), (vec![], None), "it keeps nothing of it");
+        assert_eq!(replicated(task.look(20, |_| true, |_| true)), (vec![], None), "it has no replica");
     }
 }
--- a/crates/continuity/tests/sim.rs
+++ b/crates/continuity/tests/sim.rs
@@ -1,7 +1,7 @@
-//! Several directors on a virtual network with one agreed log: crashes, pauses, partitions, late and lost
-//! words, leaders that change. Judged by what the streamers see (S6): nobody acts on a session that is
-//! another's, an estate is taken over once, no viewer's paid session is set up beside one that may run.
-//! With the feature `planted`, each planted error has to be found.
+//! Several directors on a virtual network with one replicated log: crashes, pauses, partitions, late and lost
+//! messages, and changes of the leader. Judged by what the streamers see (S6): no director acts on another's
+//! session, a session set is taken over once, and no viewer gets a paid session beside one that may still
+//! run. With the feature `planted`, each planted fault has to be found.
 mod world;
 use world::Sim;
 
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn nobody_acts_on_what_is_anothers_whatever_fails() {
+fn no_director_acts_on_sessions_of_another_under_faults() {
     let (mut acts, mut adopted) = (0, 0);
     for seed in seeds() {
         let mut sim = Sim::new(seed);
         sim.run(150);
-        let wrong: Vec<&String> = sim.offences.iter().filter(|o| o.contains("acts")).collect();
+        let wrong: Vec<&String> = sim.violations.iter().filter(|o| o.contains("acts")).collect();
         assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
         acts += sim.acts;
         adopted += sim.adopted;
@@ -29,21 +29,21 @@
     let mut claims = 0;
     for seed in seeds() {
         let mut sim = Sim::new(seed);
-        sim.scheduled_releases = false;
+        sim.partitions = false;
         sim.run(150);
-        assert!(sim.offences.is_empty(), "seed {seed}: {:#?}", sim.offences);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
         claims += sim.claims;
     }
-    assert!(claims > 100, "judged on {claims} that came again");
+    assert!(claims > 100, "judged on {claims} returning viewers");
 }
 
-/// With nothing wrong all go on acting on what is theirs, and nothing is taken over.
+/// Without faults all directors go on acting on their own sessions, and nothing is taken over.
 #[test]
-fn in_calm_each_keeps_its_own() {
+fn without_faults_each_director_keeps_its_sessions() {
     let mut sim = Sim::new(1);
     sim.faults = false;
     sim.run(30);
-    assert!(sim.offences.is_empty() && sim.adopted == 0, "{:?}", sim.offences);
+    assert!(sim.violations.is_empty() && sim.adopted == 0, "{:?}", sim.violations);
     for d in &sim.directors {
         let coordinator = d.coordinator.0.borrow();
         assert!(coordinator.leased_until() > sim.now, "leased");
@@ -59,7 +59,7 @@
     fn found(planted_fault: PlantedFault) -> bool {
         (1..20).any(|seed| {
             let mut sim = Sim::new(seed);
-            sim.scheduled_releases = planted_fault != PlantedFault::ServeReturnAtOnce;
+            sim.partitions = planted_fault != PlantedFault::ServeReturnAtOnce;
             for round in 0..150 {
                 for d in &sim.directors {
                     d.coordinator.0.borrow_mut().planted_fault = Some(planted_fault);
@@ -67,12 +67,12 @@
                 let _ = round;
                 sim.run(1);
             }
-            !sim.offences.is_empty()
+            !sim.violations.is_empty()
         })
     }
 
     #[test]
-    fn each_planted_error_is_found() {
+    fn each_planted_fault_is_found() {
         for planted_fault in [
             PlantedFault::CloseBeforeExpiry,
             PlantedFault::ServeReturnAtOnce,
--- a/crates/continuity/tests/traffic.rs
+++ b/crates/continuity/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! What estates cost each director on the wire: flat in the size of the fleet.
+//! Traffic and storage that continuity costs each director: independent of the size of the fleet.
 use std::collections::BTreeMap;
 use stonewharf_continuity::{
     Action, ContinuitySettings, Coordinator, LocalDirector, Member, Message, OwnershipState, RequestSummary,
@@ -12,8 +12,8 @@
 const STEP: Micros = 50_000;
 const SECONDS: u64 = 12;
 /// Sessions that a director sets up each second, and how long each lasts.
-const PER_S: u64 = 20;
-const LASTS: Micros = 3_000_000;
+const SESSIONS_PER_SECOND: u64 = 20;
+const SESSION_US: Micros = 3_000_000;
 
 fn settings() -> Settings {
     let class = |effect| Class {
@@ -31,11 +31,11 @@
     Settings { classes: vec![class(Effect::AtMostOnce), class(Effect::Idempotent)], ..Settings::default() }
 }
 
-/// A word on its way: from, to, what.
-type Sent = (usize, usize, Message);
+/// A message in transit: from, to, content.
+type InTransit = (usize, usize, Message);
 
-/// Bytes a second that a director sends on average, all but the giver, and the records that it keeps.
-fn played(directors: usize) -> (f64, f64) {
+/// Average bytes a second that a director sends (without the grantor), and the records that it stores.
+fn simulate(directors: usize) -> (f64, f64) {
     let names = ["paid".to_owned(), "free".to_owned()];
     let coordinators: Vec<SharedCoordinator> = (0..directors)
         .map(|i| {
@@ -54,14 +54,14 @@
         in_fleet: true,
     };
     let members: Vec<Member> = (0..directors).map(member).collect();
-    let mut truth = OwnershipState::default();
-    let (mut way, mut next): (Vec<Sent>, Vec<Sent>) = Default::default();
+    let mut ownership = OwnershipState::default();
+    let (mut in_transit, mut next): (Vec<InTransit>, Vec<InTransit>) = Default::default();
     let mut ends: BTreeMap<(Micros, u64), usize> = BTreeMap::new();
     let (mut now, mut id, mut sent) = (1_000_000, 0_u64, vec![0_u64; directors]);
     for step in 0..SECONDS * 1_000_000 / STEP {
         now += STEP;
-        let counts = now > 1_000_000 + 4_000_000; // once all have their leases and keepers
-        for (from, to, message) in std::mem::take(&mut way) {
+        let measured = now > 1_000_000 + 4_000_000; // once all have their leases and replicas
+        for (from, to, message) in std::mem::take(&mut in_transit) {
             coordinators[to].0.borrow_mut().receive(now, &format!("d{from}"), message);
         }
         while let Some(entry) = ends.first_entry().filter(|e| e.key().0 <= now) {
@@ -72,8 +72,8 @@
         }
         let mut confirmed = false;
         for (i, coordinator) in coordinators.iter().enumerate() {
-            let mut seam = coordinator.clone();
-            for _ in 0..PER_S * STEP / 1_000_000 {
+            let mut limits = coordinator.clone();
+            for _ in 0..SESSIONS_PER_SECOND * STEP / 1_000_000 {
                 id += 1;
                 let summary = RequestSummary {
                     class: names[usize::from(!id.is_multiple_of(3))].clone(),
@@ -87,27 +87,27 @@
                 let class = ClassId(usize::from(!id.is_multiple_of(3)));
                 let request = Request { id: RequestId(id), viewer, title, class, ..Request::default() };
                 coordinator.0.borrow_mut().note_request(id, summary);
-                seam.observe_event(now, &Event::Inbound(request.clone()), &mut |_| {});
-                seam.attempt_sent(now, &request, StreamerId(0), 1);
+                limits.observe_event(now, &Event::Inbound(request.clone()), &mut |_| {});
+                limits.attempt_sent(now, &request, StreamerId(0), 1);
                 let (request, streamer) = (request.id, StreamerId(0));
-                seam.observe_event(now, &Event::Started { request, streamer, latency_us: 1 }, &mut |_| {});
-                ends.insert((now + LASTS, id), i);
+                limits.observe_event(now, &Event::Started { request, streamer, latency_us: 1 }, &mut |_| {});
+                ends.insert((now + SESSION_US, id), i);
             }
             let mut coordinator = coordinator.0.borrow_mut();
             if step == 0 {
                 coordinator.set_members(now, members.clone());
             }
-            coordinator.apply_ownership(now, &truth);
+            coordinator.apply_ownership(now, &ownership);
             coordinator.set_leading(now, i == 0);
             coordinator.tick(now);
             for action in coordinator.take_actions() {
                 match action {
                     Action::Send(to, message) => {
-                        sent[i] += if counts { message.encode().len() as u64 } else { 0 };
+                        sent[i] += if measured { message.encode().len() as u64 } else { 0 };
                         let to = to.strip_prefix('d').and_then(|n| n.parse().ok()).expect("a director");
                         next.push((i, to, message));
                     }
-                    Action::Propose(command) => drop(truth.take(command)),
+                    Action::Propose(command) => drop(ownership.take(command)),
                     Action::ConfirmLeadership => confirmed = true,
                     _ => {}
                 }
@@ -116,7 +116,7 @@
         if confirmed {
             coordinators[0].0.borrow_mut().leadership_confirmed(now, true);
         }
-        std::mem::swap(&mut way, &mut next);
+        std::mem::swap(&mut in_transit, &mut next);
     }
     let kept: usize = coordinators.iter().map(|h| h.0.borrow().session_counts()[1]).sum();
     let bytes: u64 = sent[1..].iter().sum();
@@ -125,10 +125,13 @@
 }
 
 #[test]
-fn what_a_director_sends_and_keeps_does_not_grow_with_the_fleet() {
-    let (few, kept_few) = played(10);
-    let (many, kept_many) = played(100);
-    assert!(few > 1_000.0, "judged on {few} bytes a second");
-    assert!(many < 1.15 * few, "{few} bytes a second each among 10, {many} among 100");
+fn traffic_and_storage_per_director_do_not_grow_with_the_fleet() {
+    let (few_bytes, kept_few) = simulate(10);
+    let (many_bytes, kept_many) = simulate(100);
+    assert!(few_bytes > 1_000.0, "judged on {few_bytes} bytes a second");
+    assert!(
+        many_bytes < 1.15 * few_bytes,
+        "{few_bytes} bytes a second each among 10, {many_bytes} among 100"
+    );
     assert!(kept_many < 1.15 * kept_few, "{kept_few} records each among 10, {kept_many} among 100");
 }
--- a/crates/continuity/tests/world/mod.rs
+++ b/crates/continuity/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Directors, streamers, viewers and one agreed log on a virtual network, by seed.
+//! Directors, streamers, viewers and one replicated log on a virtual network, driven by a seed.
 mod turn;
 
 use rand_chacha::ChaCha8Rng;
@@ -13,65 +13,65 @@
 pub const DIRECTORS: usize = 6;
 pub const STEP: Micros = 5_000;
 pub const SECOND: Micros = 1_000_000;
-pub const MET: Micros = 5 * SECOND;
+pub const FLEET_MET_AT: Micros = 5 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Runs {
-    Yes,
-    /// It stands still until then, and goes on as if nothing had been.
-    Stopped(Micros),
+pub enum ProcessState {
+    Running,
+    /// Paused until this time; goes on afterwards as if nothing had happened.
+    Paused(Micros),
     Dead(Micros),
 }
 
-pub enum Event2 {
+pub enum NetworkEvent {
     Message(usize, usize, u64, Message),
     Command(Command),
     Confirm(usize, u64, u64),
-    Proof(usize, u64, u64),
+    EndConfirmed(usize, u64, u64),
 }
 
 /// A session at its streamer.
-pub struct Plays {
+pub struct PlayingSession {
     key: (u32, u32),
     paid: bool,
-    stands: bool,
+    established: bool,
     ends: Micros,
 }
 
 pub struct Director {
     pub coordinator: SharedCoordinator,
     incarnation: u64,
-    runs: Runs,
-    /// What the log held when it last heard of it.
-    heard: u64,
-    /// Its module's sessions.
+    process_state: ProcessState,
+    /// The version of the agreed state that it has applied.
+    applied_version: u64,
+    /// The sessions in its decision module.
     pub sessions: BTreeSet<u64>,
-    /// Acts that were decided and whose bytes have not left.
+    /// Acts that were decided and not written yet.
     decided: Vec<(Micros, u64)>,
 }
 
 pub struct Sim {
-    dice: ChaCha8Rng,
+    rng: ChaCha8Rng,
     pub now: Micros,
     pub directors: Vec<Director>,
-    truth: OwnershipState,
+    ownership: OwnershipState,
     leader: usize,
     term: u64,
-    led_at: Micros,
-    way: BTreeMap<(Micros, u64), Event2>,
+    leader_since: Micros,
+    in_transit: BTreeMap<(Micros, u64), NetworkEvent>,
     number: u64,
-    /// Pairs that can't hear each other, until when.
-    cut: BTreeMap<(usize, usize), Micros>,
-    playing: BTreeMap<u64, Plays>,
+    /// Pairs of directors that can't reach each other, until when.
+    cut_links: BTreeMap<(usize, usize), Micros>,
+    playing: BTreeMap<u64, PlayingSession>,
     returns: Vec<(Micros, u32, u32)>,
     ids: u64,
     pub faults: bool,
-    pub scheduled_releases: bool,
+    pub partitions: bool,
     pub acts: u64,
     pub adopted: u64,
     pub claims: u64,
     lost_sessions: u64,
-    pub offences: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 pub fn settings() -> Settings {
@@ -107,72 +107,77 @@
         let director = |i| Director {
             coordinator: coordinator(i, 1_000 + i as u64, SECOND),
             incarnation: 1_000 + i as u64,
-            runs: Runs::Yes,
-            heard: 0,
+            process_state: ProcessState::Running,
+            applied_version: 0,
             sessions: BTreeSet::new(),
             decided: Vec::new(),
         };
         Sim {
-            dice: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             now: SECOND,
             directors: (0..DIRECTORS).map(director).collect(),
-            truth: OwnershipState::default(),
+            ownership: OwnershipState::default(),
             leader: 0,
             term: 1,
-            led_at: 0,
-            way: BTreeMap::new(),
+            leader_since: 0,
+            in_transit: BTreeMap::new(),
             number: 0,
-            cut: BTreeMap::new(),
+            cut_links: BTreeMap::new(),
             playing: BTreeMap::new(),
             returns: Vec::new(),
             ids: 0,
             faults: true,
-            scheduled_releases: true,
+            partitions: true,
             acts: 0,
             adopted: 0,
             claims: 0,
             lost_sessions: 0,
-            offences: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    fn below(&mut self, n: u64) -> u64 {
-        self.dice.next_u64() % n.max(1)
+    fn random_below(&mut self, n: u64) -> u64 {
+        self.rng.next_u64() % n.max(1)
     }
 
-    fn put(&mut self, after: Micros, what: Event2) {
+    fn schedule(&mut self, after: Micros, what: NetworkEvent) {
         self.number += 1;
-        self.way.insert((self.now + after, self.number), what);
+        self.in_transit.insert((self.now + after, self.number), what);
     }
 
-    fn up(&self, i: usize) -> bool {
-        self.directors[i].runs == Runs::Yes
+    fn is_running(&self, i: usize) -> bool {
+        self.directors[i].process_state == ProcessState::Running
     }
 
-    fn apart(&self, a: usize, b: usize) -> bool {
-        a != b && self.cut.get(&(a.min(b), a.max(b))).is_some_and(|until| *until > self.now)
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        a != b && self.cut_links.get(&(a.min(b), a.max(b))).is_some_and(|until| *until > self.now)
     }
 
-    /// Whom most can reach leads; a change takes half a second.
+    /// A director that reaches a majority leads; a change takes half a second.
     fn elect(&mut self) {
         let reach = |s: &Sim, i: usize| {
-            s.up(i) && (0..DIRECTORS).filter(|j| s.up(*j) && !s.apart(i, *j)).count() > DIRECTORS / 2
+            s.is_running(i)
+                && (0..DIRECTORS).filter(|j| s.is_running(*j) && !s.is_partitioned(i, *j)).count()
+                    > DIRECTORS / 2
         };
-        if !reach(self, self.leader) && self.led_at + SECOND / 2 <= self.now {
+        if !reach(self, self.leader) && self.leader_since + SECOND / 2 <= self.now {
             let able: Vec<usize> = (0..DIRECTORS).filter(|i| reach(self, *i)).collect();
             if !able.is_empty() {
-                let at = self.below(able.len() as u64) as usize;
-                (self.leader, self.term, self.led_at) = (able[at], self.term + 1, self.now);
+                let at = self.random_below(able.len() as u64) as usize;
+                (self.leader, self.term, self.leader_since) = (able[at], self.term + 1, self.now);
             }
         }
     }
 
-    /// What a director sees of the fleet: some 2 s after it is so.
+    /// A director's view of the fleet.
     fn members(&self, i: usize) -> Vec<Member> {
         let of = |j: usize| {
-            let gone = match self.directors[j].runs {
-                Runs::Yes => self.apart(i, j) && (0..DIRECTORS).filter(|k| self.apart(*k, j)).count() > 3,
-                Runs::Stopped(_) | Runs::Dead(_) => true,
+            let gone = match self.directors[j].process_state {
+                ProcessState::Running => {
+                    self.is_partitioned(i, j)
+                        && (0..DIRECTORS).filter(|k| self.is_partitioned(*k, j)).count() > 3
+                }
+                ProcessState::Paused(_) | ProcessState::Dead(_) => true,
             };
             let (name, hall) = (format!("d{j}"), ["a", "b"][j % 2].to_owned());
             Member { name, hall, incarnation: self.directors[j].incarnation, serving: !gone, in_fleet: !gone }
@@ -193,14 +198,14 @@
                 seen_at = self.now;
                 views = (0..DIRECTORS).map(|i| self.members(i)).collect();
             }
-            while let Some(entry) = self.way.first_entry().filter(|e| e.key().0 <= self.now) {
+            while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= self.now) {
                 let what = entry.remove();
-                self.happen(what);
+                self.deliver(what);
             }
             self.streamers();
             self.viewers();
             for i in 0..DIRECTORS {
-                if self.up(i) {
+                if self.is_running(i) {
                     let view = views.get(i).cloned();
                     self.turn(i, view);
                 }
@@ -210,15 +215,17 @@
 
     fn faults(&mut self) {
         for i in 0..DIRECTORS {
-            match self.directors[i].runs {
-                Runs::Stopped(until) if until <= self.now => self.directors[i].runs = Runs::Yes,
-                Runs::Dead(until) if until <= self.now => {
+            match self.directors[i].process_state {
+                ProcessState::Paused(until) if until <= self.now => {
+                    self.directors[i].process_state = ProcessState::Running
+                }
+                ProcessState::Dead(until) if until <= self.now => {
                     let incarnation = self.now;
                     self.directors[i] = Director {
                         coordinator: coordinator(i, incarnation, self.now),
                         incarnation,
-                        runs: Runs::Yes,
-                        heard: 0,
+                        process_state: ProcessState::Running,
+                        applied_version: 0,
                         sessions: BTreeSet::new(),
                         decided: Vec::new(),
                     };
@@ -226,30 +233,35 @@
                 _ => {}
             }
         }
-        let down = (0..DIRECTORS).filter(|i| !self.up(*i)).count();
-        if !self.faults || self.below(600) > 0 {
+        let down = (0..DIRECTORS).filter(|i| !self.is_running(*i)).count();
+        if !self.faults || self.random_below(600) > 0 {
             return;
         }
-        let (i, lasts) = (self.below(DIRECTORS as u64) as usize, SECOND / 2 + self.below(9) * SECOND);
-        match self.below(3) {
-            0 if self.up(i) && down < 2 => {
-                self.directors[i].runs = Runs::Dead(self.now + lasts);
-                // Its connections close: what was out is given up; what stands goes on.
+        let (i, duration_us) =
+            (self.random_below(DIRECTORS as u64) as usize, SECOND / 2 + self.random_below(9) * SECOND);
+        match self.random_below(3) {
+            0 if self.is_running(i) && down < 2 => {
+                self.directors[i].process_state = ProcessState::Dead(self.now + duration_us);
+                // Its connections close: attempts in flight are given up, established sessions go on.
                 let out = std::mem::take(&mut self.directors[i].sessions);
-                let gone: Vec<u64> =
-                    out.into_iter().filter(|id| self.playing.get(id).is_some_and(|p| !p.stands)).collect();
+                let gone: Vec<u64> = out
+                    .into_iter()
+                    .filter(|id| self.playing.get(id).is_some_and(|p| !p.established))
+                    .collect();
                 for id in gone {
                     if let Some(p) = self.playing.remove(&id) {
-                        let after = 100_000 + self.below(3 * SECOND);
+                        let after = 100_000 + self.random_below(3 * SECOND);
                         self.returns.push((self.now + after, p.key.0, p.key.1));
                     }
                 }
             }
-            1 if self.up(i) && down < 2 => self.directors[i].runs = Runs::Stopped(self.now + lasts),
-            2 if self.scheduled_releases => {
+            1 if self.is_running(i) && down < 2 => {
+                self.directors[i].process_state = ProcessState::Paused(self.now + duration_us)
+            }
+            2 if self.partitions => {
                 for j in 0..DIRECTORS {
-                    if i != j && self.below(5) > 0 {
-                        self.cut.insert((i.min(j), i.max(j)), self.now + lasts);
+                    if i != j && self.random_below(5) > 0 {
+                        self.cut_links.insert((i.min(j), i.max(j)), self.now + duration_us);
                     }
                 }
             }
@@ -257,30 +269,34 @@
         }
     }
 
-    fn happen(&mut self, what: Event2) {
+    fn deliver(&mut self, what: NetworkEvent) {
         match what {
-            Event2::Message(from, to, incarnation, message) => {
-                if self.up(to) && !self.apart(from, to) && self.directors[from].incarnation >= incarnation {
+            NetworkEvent::Message(from, to, incarnation, message) => {
+                if self.is_running(to)
+                    && !self.is_partitioned(from, to)
+                    && self.directors[from].incarnation >= incarnation
+                {
                     let coordinator = &self.directors[to].coordinator.0;
                     coordinator.borrow_mut().receive(self.now, &format!("d{from}"), message);
-                } else if matches!(self.directors[to].runs, Runs::Stopped(_)) {
-                    self.put(SECOND, Event2::Message(from, to, incarnation, message)); // its socket's queue keeps it
+                } else if matches!(self.directors[to].process_state, ProcessState::Paused(_)) {
+                    // the receive queue of its socket keeps it
+                    self.schedule(SECOND, NetworkEvent::Message(from, to, incarnation, message));
                 }
             }
-            Event2::Command(command) => {
-                let _ = self.truth.take(command);
+            NetworkEvent::Command(command) => {
+                let _ = self.ownership.take(command);
             }
-            Event2::Confirm(i, incarnation, term) => {
+            NetworkEvent::Confirm(i, incarnation, term) => {
                 let led =
                     self.leader == i && self.term == term && self.directors[i].incarnation == incarnation;
-                if self.up(i) && self.directors[i].incarnation == incarnation {
+                if self.is_running(i) && self.directors[i].incarnation == incarnation {
                     self.directors[i].coordinator.0.borrow_mut().leadership_confirmed(self.now, led);
                 }
             }
-            Event2::Proof(i, incarnation, id) => {
-                // A release ends a session that stands or is being set up.
+            NetworkEvent::EndConfirmed(i, incarnation, id) => {
+                // A release ends a session that is established or being set up.
                 self.playing.remove(&id);
-                if self.up(i) && self.directors[i].incarnation == incarnation {
+                if self.is_running(i) && self.directors[i].incarnation == incarnation {
                     self.directors[i].coordinator.0.borrow_mut().end_confirmed(self.now, id);
                 }
             }
--- a/crates/continuity/tests/world/turn.rs
+++ b/crates/continuity/tests/world/turn.rs
@@ -1,5 +1,5 @@
 //! What streamers, viewers and directors do in a step.
-use super::{DIRECTORS, Event2, MET, Plays, SECOND, Sim};
+use super::{DIRECTORS, FLEET_MET_AT, NetworkEvent, PlayingSession, SECOND, Sim};
 use stonewharf_continuity::{Action, Member, Message, Record, RequestSummary, Stage};
 use stonewharf_core::{
     Event, Micros, Outcome, PlacementLimits, Request, RequestId, StreamerId, TitleId, ViewerId, hash_name,
@@ -11,9 +11,9 @@
             self.playing.iter().filter(|(_, p)| p.ends <= self.now).map(|(id, _)| *id).collect();
         for id in due {
             self.playing.remove(&id);
-            for i in (0..DIRECTORS).filter(|i| self.up(*i)).collect::<Vec<_>>() {
+            for i in (0..DIRECTORS).filter(|i| self.is_running(*i)).collect::<Vec<_>>() {
                 if self.directors[i].sessions.remove(&id) {
-                    self.tell(
+                    self.observe_event(
                         i,
                         Event::Ended {
                             request: RequestId(id),
@@ -29,36 +29,36 @@
         }
     }
 
-    pub(super) fn tell(&mut self, i: usize, event: Event) {
+    pub(super) fn observe_event(&mut self, i: usize, event: Event) {
         let now = self.now;
         self.directors[i].coordinator.observe_event(now, &event, &mut |_| {});
     }
 
     pub(super) fn viewers(&mut self) {
-        // A director that has not met its fleet marks nothing anywhere; nor does it know of anybody to
-        // inherit.
-        if self.now < MET {
+        // A director that has not met its fleet can't register sessions anywhere, nor does it know of anybody
+        // that could take them over.
+        if self.now < FLEET_MET_AT {
             return;
         }
-        if self.below(4) == 0 {
-            let (viewer, title) = (self.below(1 << 30) as u32, self.below(50) as u32);
-            let i = self.below(DIRECTORS as u64) as usize;
-            self.ask(i, viewer, title, false);
+        if self.random_below(4) == 0 {
+            let (viewer, title) = (self.random_below(1 << 30) as u32, self.random_below(50) as u32);
+            let i = self.random_below(DIRECTORS as u64) as usize;
+            self.request(i, viewer, title, false);
         }
         let due: Vec<(Micros, u32, u32)> = self.returns.extract_if(.., |r| r.0 <= self.now).collect();
         for (_, viewer, title) in due {
-            let i = self.below(DIRECTORS as u64) as usize;
-            if self.up(i) {
-                self.ask(i, viewer, title, true);
+            let i = self.random_below(DIRECTORS as u64) as usize;
+            if self.is_running(i) {
+                self.request(i, viewer, title, true);
             } else {
                 self.returns.push((self.now + 200_000, viewer, title));
             }
         }
     }
 
-    /// A viewer asks; every third session is paid.
-    pub(super) fn ask(&mut self, i: usize, viewer: u32, title: u32, returned: bool) {
-        if !self.up(i) {
+    /// A viewer requests a session; every third one is paid.
+    pub(super) fn request(&mut self, i: usize, viewer: u32, title: u32, returned: bool) {
+        if !self.is_running(i) {
             return;
         }
         self.ids += 1;
@@ -80,30 +80,33 @@
         };
         let now = self.now;
         self.directors[i].coordinator.0.borrow_mut().note_request(id, summary);
-        self.tell(i, Event::Inbound(request.clone()));
+        self.observe_event(i, Event::Inbound(request.clone()));
         if !self.directors[i].coordinator.constraints(now, &request, StreamerId(0)).allowed {
             self.claims += 1;
-            let after = 200_000 + self.below(200_000);
+            let after = 200_000 + self.random_below(200_000);
             self.returns.push((now + after, viewer, title));
             self.drain(i);
             return;
         }
         self.directors[i].coordinator.attempt_sent(now, &request, StreamerId(0), 1);
         self.drain(i);
-        let beside = self.playing.values().any(|p| p.paid && p.key == (viewer, title));
-        if paid && beside {
-            self.offences.push(format!("{now}: d{i} sets up v{viewer} t{title} beside one that may run"));
+        let may_run = self.playing.values().any(|p| p.paid && p.key == (viewer, title));
+        if paid && may_run {
+            self.violations.push(format!("{now}: d{i} sets up v{viewer} t{title} beside one that may run"));
         }
-        let stands = self.below(4) > 0;
-        let plays_for = 2 * SECOND + self.below(20 * SECOND);
-        let ends = if stands { now + plays_for } else { now + 1_200_000 };
-        self.playing.insert(id, Plays { key: (viewer, title), paid, stands, ends });
+        let established = self.random_below(4) > 0;
+        let plays_for = 2 * SECOND + self.random_below(20 * SECOND);
+        let ends = if established { now + plays_for } else { now + 1_200_000 };
+        self.playing.insert(id, PlayingSession { key: (viewer, title), paid, established, ends });
         self.directors[i].sessions.insert(id);
-        if stands {
-            self.tell(i, Event::Started { request: RequestId(id), streamer: StreamerId(0), latency_us: 1 });
-            // Some viewers lose their director and come again while their session plays on.
-            if paid && self.below(6) == 0 {
-                let after = 100_000 + self.below(4 * SECOND);
+        if established {
+            self.observe_event(
+                i,
+                Event::Started { request: RequestId(id), streamer: StreamerId(0), latency_us: 1 },
+            );
+            // Some viewers lose their director and return while their session plays on.
+            if paid && self.random_below(6) == 0 {
+                let after = 100_000 + self.random_below(4 * SECOND);
                 self.returns.push((now + after, viewer, title));
             }
         }
@@ -117,28 +120,28 @@
             if let Some(view) = view {
                 coordinator.set_members(now, view);
             }
-            // The log's news comes by the leader.
-            let behind = d.heard < self.truth.version;
+            // The leader distributes the log.
+            let behind = d.applied_version < self.ownership.version;
             if behind
-                && !self.cut.iter().any(|(pair, until)| {
+                && !self.cut_links.iter().any(|(pair, until)| {
                     *until > now && (*pair == (i.min(self.leader), i.max(self.leader))) && i != self.leader
                 })
             {
-                d.heard = self.truth.version;
-                coordinator.apply_ownership(now, &self.truth);
+                d.applied_version = self.ownership.version;
+                coordinator.apply_ownership(now, &self.ownership);
             }
-            coordinator.set_leading(now, self.leader == i && self.led_at + SECOND / 4 <= now);
+            coordinator.set_leading(now, self.leader == i && self.leader_since + SECOND / 4 <= now);
             coordinator.tick(now);
         }
         self.drain(i);
         self.act(i);
     }
 
-    /// Acts by own will: decided in one turn, and the bytes go out in a later one.
+    /// Acts on the director's own initiative: decided in one turn, written in a later one.
     pub(super) fn act(&mut self, i: usize) {
         let now = self.now;
-        if self.below(3) == 0 && !self.directors[i].sessions.is_empty() {
-            let at = self.below(self.directors[i].sessions.len() as u64) as usize;
+        if self.random_below(3) == 0 && !self.directors[i].sessions.is_empty() {
+            let at = self.random_below(self.directors[i].sessions.len() as u64) as usize;
             let id = self.directors[i].sessions.iter().nth(at).copied().unwrap_or(0);
             if self.directors[i].coordinator.0.borrow().may_act(now, id) {
                 self.directors[i].decided.push((now, id));
@@ -151,17 +154,18 @@
                 continue;
             }
             self.acts += 1;
-            // Another has it, or is about to: its life here is closed in truth, and it was kept.
+            // Another director has it, or is about to: this incarnation is closed in the log, and the session
+            // was replicated.
             let others = (0..DIRECTORS).filter(|j| *j != i && self.directors[*j].sessions.contains(&id));
             let others: Vec<usize> = others
                 .filter(|j| {
                     let coordinator = self.directors[*j].coordinator.0.borrow();
-                    coordinator.may_act(now, id) && coordinator.record(id).is_some() && self.up(*j)
+                    coordinator.may_act(now, id) && coordinator.record(id).is_some() && self.is_running(*j)
                 })
                 .collect();
             if !others.is_empty() {
-                self.offences
-                    .push(format!("{now}: d{i} acts on session {id}, which is that of {others:?}, too"));
+                self.violations
+                    .push(format!("{now}: d{i} acts on session {id}, which {others:?} holds as well"));
             }
         }
     }
@@ -183,24 +187,26 @@
         match action {
             Action::Send(to, message) => {
                 let Some(to) = to.strip_prefix('d').and_then(|n| n.parse().ok()) else { return };
-                let late = 500 + self.below(40_000);
-                // Words get lost; marks only by cuts and crashes, which the check of claims does without.
+                let delay_us = 500 + self.random_below(40_000);
+                // Messages get lost. Registrations are lost only by partitions and crashes; the check of
+                // claims runs without partitions.
                 let mark = matches!(message, Message::RegisterSession { .. });
-                if mark || self.below(50) > 0 {
-                    self.put(late, Event2::Message(i, to, incarnation, message));
+                if mark || self.random_below(50) > 0 {
+                    self.schedule(delay_us, NetworkEvent::Message(i, to, incarnation, message));
                 }
             }
             Action::Propose(command) => {
-                if !self.apart(i, self.leader) && self.up(self.leader) {
-                    // It may be carried about for a while, past a change of leader.
-                    let late = if self.below(10) == 0 { self.below(4 * SECOND) } else { 2_000 };
-                    self.put(late, Event2::Command(command));
+                if !self.is_partitioned(i, self.leader) && self.is_running(self.leader) {
+                    // A command may be under way for a while, past a change of the leader.
+                    let delay_us =
+                        if self.random_below(10) == 0 { self.random_below(4 * SECOND) } else { 2_000 };
+                    self.schedule(delay_us, NetworkEvent::Command(command));
                 }
             }
             Action::ConfirmLeadership => {
-                let late = 1_000 + self.below(20_000);
+                let delay_us = 1_000 + self.random_below(20_000);
                 let term = self.term;
-                self.put(late, Event2::Confirm(i, incarnation, term));
+                self.schedule(delay_us, NetworkEvent::Confirm(i, incarnation, term));
             }
             Action::Adopt(records) => {
                 for (id, record) in records {
@@ -208,12 +214,12 @@
                 }
             }
             Action::EndAtStreamer(id, _) => {
-                let late = 1_000 + self.below(5_000);
-                self.put(late, Event2::Proof(i, incarnation, id));
+                let delay_us = 1_000 + self.random_below(5_000);
+                self.schedule(delay_us, NetworkEvent::EndConfirmed(i, incarnation, id));
             }
             Action::EndForReturn(id) => {
                 self.directors[i].sessions.remove(&id);
-                self.tell(
+                self.observe_event(
                     i,
                     Event::Ended {
                         request: RequestId(id),
@@ -235,10 +241,10 @@
     }
 
     pub(super) fn adopt(&mut self, i: usize, id: u64, record: &Record) {
-        assert_eq!(record.stage, Stage::Established, "what was out is ended, not adopted");
+        assert_eq!(record.stage, Stage::Established, "attempts in flight are ended, not adopted");
         self.adopted += 1;
         if !self.playing.contains_key(&id) {
-            self.lost_sessions += 1; // it ended meanwhile; its streamer says so to whoever asks
+            self.lost_sessions += 1; // it ended meanwhile, and its streamer says so when asked
             return;
         }
         self.directors[i].sessions.insert(id);
@@ -249,6 +255,6 @@
             viewer: ViewerId(hash_name(&record.summary.viewer)),
             ..Request::default()
         };
-        self.tell(i, Event::Preexisting(request, StreamerId(0)));
+        self.observe_event(i, Event::Preexisting(request, StreamerId(0)));
     }
 }
--- a/crates/leases/tests/duration.rs
+++ b/crates/leases/tests/duration.rs
@@ -2,7 +2,7 @@
 use stonewharf_leases::*;
 
 #[test]
-fn both_sides_allow_for_drift_and_what_cannot_be_is_refused() {
+fn both_sides_allow_for_drift_and_values_out_of_range_are_refused() {
     let duration = LeaseDuration::new(1_000, 1.0).expect("allowed");
     assert_eq!((duration.holder, duration.grantor), (990_000, 1_010_000));
     assert!(duration.request_interval() * 3 <= duration.holder);
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -194,9 +194,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing of a closed life goes out", |_, s: &State| !s.wrote_closed),
-            Property::sometimes("a lease is held", |_, s: &State| s.holder.is_valid(s.clock())),
-            Property::sometimes("a life is closed by the second giver", |_, s: &State| {
+            Property::always("a closed incarnation writes nothing", |_, s: &State| !s.wrote_closed),
+            Property::sometimes("a lease is valid", |_, s: &State| s.holder.is_valid(s.clock())),
+            Property::sometimes("the second grantor closes an incarnation", |_, s: &State| {
                 s.closed && s.leader == 1
             }),
         ]
@@ -205,18 +205,18 @@
 
 fn finds_violation(fault: PlantedFault) -> bool {
     let checker = World(fault).checker().threads(2).spawn_bfs().join();
-    checker.discovery("nothing of a closed life goes out").is_some()
+    checker.discovery("a closed incarnation writes nothing").is_some()
 }
 
 #[test]
-fn no_interleaving_lets_a_closed_life_act() {
+fn no_interleaving_lets_a_closed_incarnation_write() {
     let checker = World(PlantedFault::Nothing).checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
 }
 
 #[test]
-fn each_planted_error_is_found() {
+fn each_planted_fault_is_found() {
     let faults = [
         PlantedFault::CountFromAnswer,
         PlantedFault::NoWaitForEarlierGrantor,
--- a/src/net/agreed/mod.rs
+++ b/src/net/agreed/mod.rs
@@ -7,7 +7,7 @@
 mod whole;
 
 use super::hand::ContinuityDriver;
-use super::narrowed::Narrowed;
+use super::narrowed::ClosedStreamers;
 use super::peers::{Handed, Peers};
 use super::poll::Token;
 use super::shared::{Due, Shared};
@@ -56,7 +56,7 @@
     health_at: Micros,
     incarnation: u64,
     /// What is closed, kept for the next start, where there is a folder.
-    narrowed: Option<Narrowed>,
+    narrowed: Option<ClosedStreamers>,
     /// Drains of streamers, as the module asks them.
     pub drains: SharedDrains,
     /// Sessions that outlive their director, where that is on.
@@ -98,7 +98,7 @@
             None => (None, None),
         };
         let narrowed = folder.map(|folder| {
-            let (narrowed, kept) = Narrowed::open(folder, shared.log.clone());
+            let (narrowed, kept) = ClosedStreamers::open(folder, shared.log.clone());
             if !kept.is_empty() {
                 info!(shared.log, "streamers are taken for closed until what is agreed is heard";
                     "at_us" => shared.now, "streamers" => kept.join(" "));
@@ -172,7 +172,7 @@
                 Handed::Order(token, bytes) => self.order(shared, peers, token, &bytes),
             }
         }
-        let safe: Vec<_> = self.store.iter().flat_map(StoreThread::safe).collect();
+        let safe: Vec<_> = self.store.iter().flat_map(StoreThread::results).collect();
         for safe in safe {
             match safe {
                 Ok(stamp) => self.agreement.stored(stamp),
@@ -353,7 +353,7 @@
         let rollout = &self.agreement.machine().rollout;
         let entries = self.drains.0.borrow_mut().agree(rollout);
         if let Some(narrowed) = &mut self.narrowed {
-            narrowed.keep(self.drains.0.borrow().closed_names());
+            narrowed.set(self.drains.0.borrow().closed_names());
         }
         if !entries.is_empty() {
             shared.inputs.push(Input::List { scope: ListScope::Delta, entries });
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -306,7 +306,8 @@
                 "sessions" => sessions);
         }
         LogEvent::HandedOver(incarnation, sessions) => {
-            warn!(log, "continuity: the session set was handed over to other directors"; "at_us" => now, "life" => incarnation,
+            warn!(log, "continuity: the session set was handed over to other directors"; "at_us" => now,
+                "life" => incarnation,
                 "sessions" => sessions);
         }
         LogEvent::TakeoverStarted(owner, incarnation, epoch) => {
@@ -326,7 +327,8 @@
             info!(log, "continuity: replicas chosen"; "at_us" => now, "keepers" => names.join(" "));
         }
         LogEvent::ReplicaLags(name) => {
-            warn!(log, "continuity: a replica lags behind; another one is chosen"; "at_us" => now, "keeper" => name);
+            warn!(log, "continuity: a replica lags behind; another one is chosen"; "at_us" => now,
+                "keeper" => name);
         }
         LogEvent::GrantorTermStarted(grantor_term) => {
             info!(log, "continuity: this director grants leases"; "at_us" => now, "reign" => grantor_term)
@@ -339,8 +341,8 @@
             debug!(log, "continuity: the end of a session is confirmed"; "session" => hex(id))
         }
         LogEvent::EndUnconfirmed(id) => {
-            warn!(log, "continuity: the end of a session can't be confirmed; its streamer does not answer"; "at_us" => now,
-                "session" => hex(id));
+            warn!(log, "continuity: the end of a session can't be confirmed; its streamer does not answer";
+                "at_us" => now, "session" => hex(id));
         }
     }
 }
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -9,28 +9,28 @@
 use stonewharf_store::{Store, StoreError};
 
 /// The largest number of batches in one write.
-const TOGETHER_MOST: usize = 64;
+const MAX_BATCHES_PER_WRITE: usize = 64;
 
 /// A voter's folder, with a thread of its own. The thread ends with this value, after it has written what it
 /// was given.
 pub struct StoreThread {
     batches: Sender<Batch>,
-    safe: Receiver<Result<u64, StoreError>>,
+    results: Receiver<Result<u64, StoreError>>,
 }
 
 impl StoreThread {
     /// Opens the folder, before the event loop, and returns its contents.
     pub fn start(folder: &Path, waker: Waker) -> Result<(StoreThread, Kept), StoreError> {
         let store = Store::open(folder)?;
-        let kept = store.load()?;
-        let (batches, given) = mpsc::channel();
-        let (told, safe) = mpsc::channel();
-        let work = move || work(&store, &given, &told, &waker);
+        let contents = store.load()?;
+        let (batches, queue) = mpsc::channel();
+        let (report, results) = mpsc::channel();
+        let write_batches = move || write_batches(&store, &queue, &report, &waker);
         thread::Builder::new()
             .name("store".into())
-            .spawn(work)
+            .spawn(write_batches)
             .map_err(|why| StoreError::Folder(folder.to_owned(), why))?;
-        Ok((StoreThread { batches, safe }, kept))
+        Ok((StoreThread { batches, results }, contents))
     }
 
     /// Queues a batch to be stored. Its stamp comes back by [`StoreThread::results`].
@@ -39,19 +39,24 @@
     }
 
     /// The latest stored stamps, or why the folder can't be written any more.
-    pub fn safe(&self) -> impl Iterator<Item = Result<u64, StoreError>> + '_ {
-        self.safe.try_iter()
+    pub fn results(&self) -> impl Iterator<Item = Result<u64, StoreError>> + '_ {
+        self.results.try_iter()
     }
 }
 
-fn work(store: &Store, given: &Receiver<Batch>, told: &Sender<Result<u64, StoreError>>, waker: &Waker) {
-    while let Ok(first) = given.recv() {
+fn write_batches(
+    store: &Store,
+    queue: &Receiver<Batch>,
+    report: &Sender<Result<u64, StoreError>>,
+    waker: &Waker,
+) {
+    while let Ok(first) = queue.recv() {
         let mut batches = vec![first];
-        batches.extend(given.try_iter().take(TOGETHER_MOST - 1));
+        batches.extend(queue.try_iter().take(MAX_BATCHES_PER_WRITE - 1));
         let stamp = batches.last().map_or(0, |batch| batch.stamp);
         let written = store.write(&batches);
-        let over = written.is_err(); // what follows a batch that was not stored must not be stored either
-        if told.send(written.map(|()| stamp)).is_err() || over {
+        let failed = written.is_err(); // what follows a batch that was not stored must not be stored either
+        if report.send(written.map(|()| stamp)).is_err() || failed {
             waker.wake();
             return;
         }
