--- a/crates/continuity/src/coordinator/end_sessions.rs
+++ b/crates/continuity/src/coordinator/end_sessions.rs
@@ -8,11 +8,12 @@
     /// A viewer returned elsewhere, so this session has to be ended first.
     pub(super) fn end_for_returning_viewer(&mut self, held: &RegisteredSession) {
         let id = held.id;
-        let own = (held.owner.as_str(), held.incarnation) == (self.me.name.as_str(), self.own.incarnation());
+        let is_own =
+            (held.owner.as_str(), held.incarnation) == (self.me.name.as_str(), self.own.incarnation());
         match self.record(id).map(|r| (r.stage, r.streamer.clone())) {
             _ if self.ending.contains_key(&id) => {}
             // Of its own sessions it knows that nothing runs.
-            None if own => {
+            None if is_own => {
                 self.with_registry(|registry, context, out| registry.session_over(context, id, out))
             }
             // Taken over, and missing in the replicas: it may run, and is ended where it was set up.
@@ -40,9 +41,9 @@
 
     /// Has a session ended at its streamer, with retries until that is confirmed.
     pub(crate) fn end_at_streamer(&mut self, id: Id, streamer: String) {
-        let again_at = self.now.saturating_add(END_RETRY_US);
+        let retry_at = self.now.saturating_add(END_RETRY_US);
         self.actions.push(Action::EndAtStreamer(id, streamer.clone()));
-        self.ending.entry(id).or_insert(EndingSession { streamer, again_at, tries: 1 });
+        self.ending.entry(id).or_insert(EndingSession { streamer, retry_at, tries: 1 });
     }
 
     /// Its streamer confirmed that a session is over.
@@ -66,10 +67,10 @@
     pub(super) fn retry_ends(&mut self) {
         let now = self.now;
         let late: Vec<Id> =
-            self.ending.iter().filter(|(_, s)| s.again_at <= now).map(|(id, _)| *id).collect();
+            self.ending.iter().filter(|(_, s)| s.retry_at <= now).map(|(id, _)| *id).collect();
         for id in late {
             let Some(ending) = self.ending.get_mut(&id) else { continue };
-            (ending.again_at, ending.tries) = (now.saturating_add(END_RETRY_US), ending.tries + 1);
+            (ending.retry_at, ending.tries) = (now.saturating_add(END_RETRY_US), ending.tries + 1);
             let (streamer, tries) = (ending.streamer.clone(), ending.tries);
             if tries > MAX_END_TRIES {
                 self.ending.remove(&id);
--- a/crates/continuity/src/coordinator/mod.rs
+++ b/crates/continuity/src/coordinator/mod.rs
@@ -44,7 +44,7 @@
 /// A session that is being ended.
 struct EndingSession {
     streamer: String,
-    again_at: Micros,
+    retry_at: Micros,
     tries: u32,
 }
 
@@ -55,7 +55,7 @@
     pub(crate) now: Micros,
     /// Classes by number: name, and whether they are paid.
     pub(crate) classes: Vec<(String, bool)>,
-    pub(crate) floors: Vec<u8>,
+    pub(crate) lowest_rungs: Vec<u8>,
     pub(crate) names: BTreeMap<StreamerId, String>,
     pub(crate) summaries: BTreeMap<Id, (RequestSummary, Micros)>,
     pub(crate) members: Vec<Member>,
@@ -96,7 +96,7 @@
     pub(crate) grantor: LeaseGrantor,
     pub(crate) leads: bool,
     pub(crate) session_counts: BTreeMap<String, (u64, usize)>,
-    pub(crate) proposed: BTreeSet<(String, u64)>,
+    pub(crate) closing: BTreeSet<(String, u64)>,
     /// The planted fault.
     #[cfg(feature = "planted")]
     pub planted_fault: Option<PlantedFault>,
@@ -114,10 +114,11 @@
         let duration = set.lease_duration();
         let class =
             |(name, c): (&String, &stonewharf_core::Class)| (name.clone(), c.effect == Effect::AtMostOnce);
-        let floors = settings.classes.iter().map(|c| u8::try_from(c.lowest_rung).unwrap_or(0)).collect();
+        let lowest_rungs =
+            settings.classes.iter().map(|c| u8::try_from(c.lowest_rung).unwrap_or(0)).collect();
         Coordinator {
             classes: names.iter().zip(&settings.classes).map(class).collect(),
-            floors,
+            lowest_rungs,
             names: BTreeMap::new(),
             summaries: BTreeMap::new(),
             members: Vec::new(),
@@ -145,7 +146,7 @@
             grantor: LeaseGrantor::new(duration),
             leads: false,
             session_counts: BTreeMap::new(),
-            proposed: BTreeSet::new(),
+            closing: BTreeSet::new(),
             #[cfg(feature = "planted")]
             planted_fault: None,
             set,
@@ -193,8 +194,8 @@
     /// Figures: replicas and sessions in them, viewer and title pairs in the register and queries for them,
     /// and changes of its own that no replica has yet.
     pub fn session_counts(&self) -> [usize; 5] {
-        let ((ownership, records), (keys, asked)) = (self.replica_store.size(), self.registry.sizes());
-        [ownership, records, keys, asked, self.own.unreplicated()]
+        let ((replicas, records), (keys, queries)) = (self.replica_store.size(), self.registry.sizes());
+        [replicas, records, keys, queries, self.own.unreplicated()]
     }
 
     /// Names of streamers by number, from discovery.
@@ -280,15 +281,15 @@
                 self.own.acknowledged(from, incarnation, run, seq)
             }
             Message::ReplicaGap { incarnation, run } => self.own.restart_replica(from, incarnation, run),
-            Message::FetchReplica { owner, incarnation, part, of, behind } => {
+            Message::FetchReplica { owner, incarnation, part, of, after } => {
                 // Only for a closed incarnation, so that the replica does not change while it is read.
                 if self.ownership.is_closed(&owner, incarnation) {
-                    let page = self.replica_store.page(&owner, incarnation, part, of, behind);
+                    let page = self.replica_store.page(&owner, incarnation, part, of, after);
                     self.send(from, page);
                 }
             }
-            Message::ReplicaPage { owner, incarnation, part, behind, kept, records, more } => {
-                let page = Page { behind, kept, records, more };
+            Message::ReplicaPage { owner, incarnation, part, after, kept, records, more } => {
+                let page = Page { after, kept, records, more };
                 let of = |a: &&mut (TakeoverTask, Option<bool>)| {
                     let t = &a.0.takeover;
                     t.owner == owner && t.incarnation == incarnation && t.part == part
@@ -377,10 +378,10 @@
 
     /// When [`Coordinator::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Micros {
-        let ask = if self.leaving.is_none() { self.holder.next_request_at() } else { Micros::MAX };
-        let lapse = if self.leased { self.holder.valid_until() } else { Micros::MAX };
-        let cut = self.scheduled_releases.front().map_or(Micros::MAX, |(at, ..)| *at);
-        [ask, lapse, cut, self.next_check_at, self.own.next_send_at(), self.registry.next_tick_at()]
+        let request = if self.leaving.is_none() { self.holder.next_request_at() } else { Micros::MAX };
+        let expiry = if self.leased { self.holder.valid_until() } else { Micros::MAX };
+        let release = self.scheduled_releases.front().map_or(Micros::MAX, |(at, ..)| *at);
+        [request, expiry, release, self.next_check_at, self.own.next_send_at(), self.registry.next_tick_at()]
             .into_iter()
             .min()
             .unwrap_or(0)
--- a/crates/continuity/src/coordinator/successor.rs
+++ b/crates/continuity/src/coordinator/successor.rs
@@ -3,7 +3,7 @@
 use crate::command::{Command, DirectorId};
 use crate::ownership::Takeover;
 use crate::record::{Record, Stage};
-use crate::takeover::{Next, TakeoverTask};
+use crate::takeover::{NextStep, TakeoverTask};
 
 impl Coordinator {
     /// Follows the agreed takeovers whose successor this director is.
@@ -41,9 +41,11 @@
             let Some((task, _)) = self.takeover_tasks.get_mut(&epoch) else { continue };
             let me = &self.me.name;
             let alive = |name: &str| name == *me || self.members.iter().any(|m| m.in_fleet && m.name == name);
-            match task.look(now, alive, |ids| self.own.is_replicated(ids)) {
-                Next::Ask(messages) => messages.into_iter().for_each(|(to, message)| self.send(&to, message)),
-                Next::Keep(records, complete) => {
+            match task.next_step(now, alive, |ids| self.own.is_replicated(ids)) {
+                NextStep::Send(messages) => {
+                    messages.into_iter().for_each(|(to, message)| self.send(&to, message))
+                }
+                NextStep::Store(records, complete) => {
                     // Records that a successor stored under an epoch that is void since belong to nobody.
                     let void = &self.ownership.void;
                     let records: Vec<_> =
@@ -59,13 +61,13 @@
                         self.finish_takeover(epoch);
                     }
                 }
-                Next::Report => {
+                NextStep::Report => {
                     let successor =
                         DirectorId { name: self.me.name.clone(), incarnation: self.own.incarnation() };
                     self.proposed_at.remove(&format!("done {epoch}"));
                     self.propose(format!("done {epoch}"), Command::Complete { epoch, successor });
                 }
-                Next::Wait => {}
+                NextStep::Wait => {}
             }
         }
     }
--- a/crates/continuity/src/grantor.rs
+++ b/crates/continuity/src/grantor.rs
@@ -20,7 +20,7 @@
         if self.leads && !leads {
             self.grantor.end_term();
             self.session_counts.clear();
-            self.proposed.clear();
+            self.closing.clear();
         }
         self.leads = leads;
     }
@@ -48,7 +48,7 @@
     pub(crate) fn check_grantor(&mut self) {
         if !self.is_grantor() {
             self.grantor.end_term();
-            self.proposed.clear();
+            self.closing.clear();
         }
     }
 
@@ -83,9 +83,9 @@
     fn close_lost(&mut self) {
         let kept: Vec<(String, u64)> = self.ownership.replicas.keys().cloned().collect();
         for (name, incarnation) in kept {
-            let proposed = self.proposed.contains(&(name.clone(), incarnation));
+            let closing = self.closing.contains(&(name.clone(), incarnation));
             if !self.is_lost(&name, incarnation) {
-                if !proposed {
+                if !closing {
                     self.grantor.cancel_close(&name, incarnation);
                 }
                 continue;
@@ -97,7 +97,7 @@
                 _ => close,
             };
             let Ok(grantor_term) = close else { continue };
-            if self.proposed.insert((name.clone(), incarnation)) {
+            if self.closing.insert((name.clone(), incarnation)) {
                 self.actions.push(Action::Log(LogEvent::Closing(name.clone(), incarnation)));
             }
             let size =
--- a/crates/continuity/src/limits.rs
+++ b/crates/continuity/src/limits.rs
@@ -29,7 +29,7 @@
                 self.with_registry(|registry, context, out| registry.viewer_returned(context, key, out));
             }
             Event::Preexisting(request, streamer) => {
-                let rung = self.floors.get(request.class.0).copied().unwrap_or(0);
+                let rung = self.lowest_rungs.get(request.class.0).copied().unwrap_or(0);
                 self.insert_record(request, *streamer, Stage::Established, rung);
             }
             Event::Started { request, .. } => self.update_record(*request, |r| r.stage = Stage::Established),
--- a/crates/continuity/src/member.rs
+++ b/crates/continuity/src/member.rs
@@ -19,21 +19,21 @@
 /// Selects the two replicas of a director: the best by rendezvous hashing in another hall than the
 /// director's, if there is one, so that the loss of a hall does not lose a session set, and the best of the
 /// remaining ones.
-pub fn select_replicas(members: &[Member], me: &str, hall: &str, but: &[String]) -> Vec<String> {
+pub fn select_replicas(members: &[Member], me: &str, hall: &str, excluded: &[String]) -> Vec<String> {
     let key = crate::record::hash_fnv1a(me);
-    let mut able: Vec<&Member> =
-        members.iter().filter(|m| m.serving && m.name != me && !but.contains(&m.name)).collect();
-    able.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
-    let away = able.iter().find(|m| m.hall != hall).or(able.first()).map(|m| m.name.clone());
-    let other = able.iter().map(|m| &m.name).find(|name| Some(*name) != away.as_ref()).cloned();
-    away.into_iter().chain(other).collect()
+    let mut candidates: Vec<&Member> =
+        members.iter().filter(|m| m.serving && m.name != me && !excluded.contains(&m.name)).collect();
+    candidates.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
+    let elsewhere = candidates.iter().find(|m| m.hall != hall).or(candidates.first()).map(|m| m.name.clone());
+    let other = candidates.iter().map(|m| &m.name).find(|name| Some(*name) != elsewhere.as_ref()).cloned();
+    elsewhere.into_iter().chain(other).collect()
 }
 
 /// The two registers of a viewer and title.
 pub fn registers(members: &[Member], key: u64) -> Vec<String> {
-    let mut able: Vec<&Member> = members.iter().filter(|m| m.serving).collect();
-    able.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
-    able.into_iter().take(2).map(|m| m.name.clone()).collect()
+    let mut candidates: Vec<&Member> = members.iter().filter(|m| m.serving).collect();
+    candidates.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
+    candidates.into_iter().take(2).map(|m| m.name.clone()).collect()
 }
 
 /// The same with the incarnations of their processes: a process that was restarted has lost its register.
--- a/crates/continuity/src/message.rs
+++ b/crates/continuity/src/message.rs
@@ -89,7 +89,8 @@
         /// Number of parts.
         of: u32,
         /// Start after this session.
-        behind: Option<Id>,
+        #[serde(rename = "behind")]
+        after: Option<Id>,
     },
     /// From a replica: a page of a session set.
     #[serde(rename = "Page")]
@@ -102,7 +103,8 @@
         /// Index of the part.
         part: u32,
         /// The start of the page, as in the request.
-        behind: Option<Id>,
+        #[serde(rename = "behind")]
+        after: Option<Id>,
         /// The latest batch of the replica, and whether it is complete; `None`: there is no replica here.
         kept: Option<(u64, bool)>,
         /// The records.
--- a/crates/continuity/src/ownership.rs
+++ b/crates/continuity/src/ownership.rs
@@ -77,13 +77,13 @@
     /// Applies an encoded command; one that can't be decoded changes nothing.
     pub fn apply(&mut self, command: &[u8]) -> Reply {
         match postcard::from_bytes(command) {
-            Ok(command) => self.take(command),
+            Ok(command) => self.apply_command(command),
             Err(_) => Reply::Refused(Refusal::Unreadable),
         }
     }
 
     /// Applies a command.
-    pub fn take(&mut self, command: Command) -> Reply {
+    pub fn apply_command(&mut self, command: Command) -> Reply {
         let taken = match command {
             Command::BecomeGrantor { name, .. } if name.len() > MAX_NAME_BYTES => Err(Refusal::TooLong),
             Command::BecomeGrantor { name, incarnation } => {
@@ -108,8 +108,8 @@
             Command::HandOver { name, incarnation, parts } => {
                 self.close(name, incarnation, Vec::new(), parts)
             }
-            Command::AssignSuccessor { epoch, successor, .. } => self.next(epoch, successor),
-            Command::Complete { epoch, successor } => self.done(epoch, &successor),
+            Command::AssignSuccessor { epoch, successor, .. } => self.assign_successor(epoch, successor),
+            Command::Complete { epoch, successor } => self.complete(epoch, &successor),
         };
         match taken {
             Ok(()) => {
@@ -182,8 +182,8 @@
             .collect();
         for epoch in left {
             if let Some(takeover) = self.takeovers.remove(&epoch) {
-                self.void(epoch);
-                self.begin(Takeover { successor: None, ..takeover });
+                self.mark_void(epoch);
+                self.start_takeover(Takeover { successor: None, ..takeover });
             }
         }
         // Sessions that were never replicated can't be taken over.
@@ -198,25 +198,33 @@
             for part in 0..of {
                 let successor = successors.get(part as usize).cloned();
                 let (owner, replicas) = (name.clone(), replicas.clone());
-                self.begin(Takeover { owner, incarnation, part, of, replicas, successor, done: false });
+                self.start_takeover(Takeover {
+                    owner,
+                    incarnation,
+                    part,
+                    of,
+                    replicas,
+                    successor,
+                    done: false,
+                });
             }
         }
         Ok(())
     }
 
-    fn begin(&mut self, takeover: Takeover) {
+    fn start_takeover(&mut self, takeover: Takeover) {
         self.epoch += 1;
         self.takeovers.insert(self.epoch, takeover);
     }
 
-    fn void(&mut self, epoch: u64) {
+    fn mark_void(&mut self, epoch: u64) {
         self.void.insert(epoch);
         while self.void.len() > MAX_VOID_EPOCHS {
             self.void.pop_first();
         }
     }
 
-    fn next(&mut self, epoch: u64, successor: DirectorId) -> Result<(), Refusal> {
+    fn assign_successor(&mut self, epoch: u64, successor: DirectorId) -> Result<(), Refusal> {
         if successor.name.len() > MAX_NAME_BYTES || self.is_closed(&successor.name, successor.incarnation) {
             return Err(Refusal::Closed);
         }
@@ -224,12 +232,12 @@
         let Some(takeover) = open.then(|| self.takeovers.remove(&epoch)).flatten() else {
             return Err(Refusal::NoOpenTakeover);
         };
-        self.void(epoch);
-        self.begin(Takeover { successor: Some(successor), ..takeover });
+        self.mark_void(epoch);
+        self.start_takeover(Takeover { successor: Some(successor), ..takeover });
         Ok(())
     }
 
-    fn done(&mut self, epoch: u64, successor: &DirectorId) -> Result<(), Refusal> {
+    fn complete(&mut self, epoch: u64, successor: &DirectorId) -> Result<(), Refusal> {
         let takeover = self.takeovers.get_mut(&epoch).filter(|t| t.successor.as_ref() == Some(successor));
         let Some(takeover) = takeover else { return Err(Refusal::NoOpenTakeover) };
         if !std::mem::replace(&mut takeover.done, true) {
@@ -253,11 +261,11 @@
     fn with_estate() -> OwnershipState {
         let mut state = OwnershipState::default();
         assert_eq!(
-            state.take(Command::BecomeGrantor { name: "d0".into(), incarnation: 1 }),
+            state.apply_command(Command::BecomeGrantor { name: "d0".into(), incarnation: 1 }),
             Reply::Grantor(1)
         );
         let replicas = vec!["d1".into(), "d2".into()];
-        state.take(Command::SetReplicas { name: "d3".into(), incarnation: 5, replicas });
+        state.apply_command(Command::SetReplicas { name: "d3".into(), incarnation: 5, replicas });
         state
     }
 
@@ -268,14 +276,20 @@
         incarnation: u64,
         successors: Vec<DirectorId>,
     ) -> Reply {
-        state.take(Command::Close { grantor_term, name: name.into(), incarnation, successors, parts: 1 })
+        state.apply_command(Command::Close {
+            grantor_term,
+            name: name.into(),
+            incarnation,
+            successors,
+            parts: 1,
+        })
     }
 
     #[test]
     fn an_incarnation_is_closed_once_and_only_by_the_current_grantor() {
         let mut state = with_estate();
         assert_eq!(
-            state.take(Command::BecomeGrantor { name: "d9".into(), incarnation: 1 }),
+            state.apply_command(Command::BecomeGrantor { name: "d9".into(), incarnation: 1 }),
             Reply::Grantor(2)
         );
         let former = Reply::Refused(Refusal::EarlierTerm);
@@ -283,8 +297,8 @@
         assert_eq!(close(&mut state, 2, "d3", 5, vec![successor("d1", 1)]), Reply::Done);
         let closed = Reply::Refused(Refusal::Closed);
         assert_eq!(close(&mut state, 2, "d3", 5, vec![successor("d2", 1)]), closed);
-        let laid = Command::HandOver { name: "d3".into(), incarnation: 5, parts: 1 };
-        assert_eq!(state.take(laid), closed);
+        let hand_over = Command::HandOver { name: "d3".into(), incarnation: 5, parts: 1 };
+        assert_eq!(state.apply_command(hand_over), closed);
         assert_eq!(state.takeovers.len(), 1);
         assert_eq!(
             state.takeover_of("d3", 5, 77).and_then(|t| t.successor.clone()),
@@ -298,12 +312,16 @@
         close(&mut state, 1, "d3", 5, vec![successor("d1", 1), successor("d2", 1)]);
         let epochs: Vec<u64> = state.takeovers.keys().copied().collect();
         assert_eq!(
-            state.take(Command::Complete { epoch: epochs[1], successor: successor("d2", 1) }),
+            state.apply_command(Command::Complete { epoch: epochs[1], successor: successor("d2", 1) }),
             Reply::Done
         );
         let early =
             Command::AssignSuccessor { grantor_term: 1, epoch: epochs[0], successor: successor("d4", 1) };
-        assert_eq!(state.take(early), Reply::Refused(Refusal::NoOpenTakeover), "its successor is alive");
+        assert_eq!(
+            state.apply_command(early),
+            Reply::Refused(Refusal::NoOpenTakeover),
+            "its successor is alive"
+        );
         close(&mut state, 1, "d1", 1, vec![]);
         close(&mut state, 1, "d2", 1, vec![]);
         assert!(
@@ -311,12 +329,12 @@
             "a completed takeover stays"
         );
         let late = Command::Complete { epoch: epochs[0], successor: successor("d1", 1) };
-        assert_eq!(state.take(late), Reply::Refused(Refusal::NoOpenTakeover));
+        assert_eq!(state.apply_command(late), Reply::Refused(Refusal::NoOpenTakeover));
         let open: Vec<u64> = state.without_successor().map(|(epoch, _)| epoch).collect();
         assert_eq!(open.len(), 1);
         let next =
             Command::AssignSuccessor { grantor_term: 1, epoch: open[0], successor: successor("d4", 1) };
-        assert_eq!(state.take(next), Reply::Done);
+        assert_eq!(state.apply_command(next), Reply::Done);
         let (epoch, takeover) = state.takeovers.iter().find(|(_, t)| !t.done).expect("under way");
         assert!(*epoch > epochs[1] && takeover.part == 0 && takeover.of == 2);
         assert_eq!(takeover.successor, Some(successor("d4", 1)));
@@ -326,9 +344,9 @@
     fn all_incarnations_closed_by_one_command_are_taken_over() {
         let mut state = with_estate();
         let replicas = vec!["d4".into()];
-        state.take(Command::SetReplicas { name: "d3".into(), incarnation: 8, replicas });
+        state.apply_command(Command::SetReplicas { name: "d3".into(), incarnation: 8, replicas });
         assert_eq!(
-            state.take(Command::HandOver { name: "d3".into(), incarnation: 8, parts: 3 }),
+            state.apply_command(Command::HandOver { name: "d3".into(), incarnation: 8, parts: 3 }),
             Reply::Done
         );
         let incarnations: Vec<u64> = state.takeovers.values().map(|t| t.incarnation).collect();
--- a/crates/continuity/src/replica.rs
+++ b/crates/continuity/src/replica.rs
@@ -86,10 +86,10 @@
         incarnation: u64,
         wanted_part: u32,
         of: u32,
-        behind: Option<Id>,
+        after: Option<Id>,
     ) -> Message {
         let replica = self.replica(owner, incarnation);
-        let from = behind.map_or(Bound::Unbounded, Bound::Excluded);
+        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut records: Vec<(Id, Record)> = (replica.iter())
             .flat_map(|t| t.records.range((from, Bound::Unbounded)))
             .filter(|(id, _)| part(**id, of) == wanted_part)
@@ -103,7 +103,7 @@
             owner: owner.to_owned(),
             incarnation,
             part: wanted_part,
-            behind,
+            after,
             kept,
             records,
             more,
@@ -157,16 +157,16 @@
         assert_eq!(store.size(), (1, 1_200));
         let mut seen = Vec::new();
         for wanted_part in 0..3 {
-            let (mut behind, mut pages) = (None, 0);
+            let (mut after, mut pages) = (None, 0);
             loop {
                 let Message::ReplicaPage { records, more, kept, .. } =
-                    store.page("d", 7, wanted_part, 3, behind)
+                    store.page("d", 7, wanted_part, 3, after)
                 else {
                     panic!("a page")
                 };
                 assert_eq!(kept, Some((8, true)));
                 assert!(records.len() <= MAX_RECORDS);
-                behind = records.last().map(|(id, _)| *id);
+                after = records.last().map(|(id, _)| *id);
                 seen.extend(records.into_iter().map(|(id, _)| id));
                 pages += 1;
                 if !more {
--- a/crates/continuity/src/takeover.rs
+++ b/crates/continuity/src/takeover.rs
@@ -18,34 +18,34 @@
 
 /// Progress of a takeover.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Step {
+enum Phase {
     /// Fetching the records from the replicas.
     Fetching,
     /// Waiting for the successor's own replicas to confirm.
-    Keeping,
+    Copying,
     /// Reported as complete; waiting for that to be agreed.
     Reported,
 }
 
 /// What one replica has sent so far.
 #[derive(Clone, Debug, Default)]
-struct From {
+struct ReplicaFetch {
     kept: Option<(u64, bool)>,
     answered: bool,
-    over: bool,
-    behind: Option<Id>,
+    finished: bool,
+    after: Option<Id>,
     asked_at: Micros,
     records: BTreeMap<Id, Record>,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send these messages to replicas.
-    Ask(Vec<(String, Message)>),
+    Send(Vec<(String, Message)>),
     /// Store these records as the successor's own. The flag tells whether the replica was complete; `None`:
     /// no replica had anything.
-    Keep(Vec<(Id, Record)>, Option<bool>),
+    Store(Vec<(Id, Record)>, Option<bool>),
     /// Report the takeover as complete.
     Report,
     /// Nothing to do now.
@@ -57,9 +57,9 @@
 pub struct TakeoverTask {
     /// The agreed takeover.
     pub takeover: Takeover,
-    step: Step,
+    phase: Phase,
     since: Micros,
-    from: BTreeMap<String, From>,
+    from: BTreeMap<String, ReplicaFetch>,
     /// The sessions, once they are fetched.
     ids: BTreeSet<Id>,
 }
@@ -67,21 +67,21 @@
 impl TakeoverTask {
     /// Starts a takeover. A replica at the successor itself is queried like any other.
     pub fn new(now: Micros, takeover: Takeover) -> TakeoverTask {
-        let from = takeover.replicas.iter().map(|name| (name.clone(), From::default())).collect();
-        TakeoverTask { takeover, step: Step::Fetching, since: now, from, ids: BTreeSet::new() }
+        let from = takeover.replicas.iter().map(|name| (name.clone(), ReplicaFetch::default())).collect();
+        TakeoverTask { takeover, phase: Phase::Fetching, since: now, from, ids: BTreeSet::new() }
     }
 
     /// Takes a page from a replica.
     pub fn page(&mut self, now: Micros, replica: &str, page: Page) {
-        let Some(from) = self.from.get_mut(replica).filter(|f| !f.over && f.behind == page.behind) else {
+        let Some(from) = self.from.get_mut(replica).filter(|f| !f.finished && f.after == page.after) else {
             return;
         };
         // Pages belong to one state of the replica: an owner that is still alive may go on changing it.
         from.answered = true;
         from.kept = page.kept;
-        from.behind = page.records.last().map(|(id, _)| *id).or(from.behind);
+        from.after = page.records.last().map(|(id, _)| *id).or(from.after);
         from.records.extend(page.records);
-        from.over = !page.more;
+        from.finished = !page.more;
         from.asked_at = if page.more { 0 } else { now };
     }
 
@@ -92,46 +92,46 @@
 
     /// Determines the next step. `alive` tells which replicas can be reached, `kept` whether the successor's
     /// own replicas have all of the given sessions.
-    pub fn look(
+    pub fn next_step(
         &mut self,
         now: Micros,
         alive: impl Fn(&str) -> bool,
-        kept: impl Fn(&BTreeSet<Id>) -> bool,
-    ) -> Next {
-        match self.step {
-            Step::Fetching => self.fetch(now, alive),
-            Step::Keeping if kept(&self.ids) || self.since.saturating_add(ACK_TIMEOUT_US) <= now => {
-                (self.step, self.since) = (Step::Reported, now);
-                Next::Report
+        replicated: impl Fn(&BTreeSet<Id>) -> bool,
+    ) -> NextStep {
+        match self.phase {
+            Phase::Fetching => self.fetch(now, alive),
+            Phase::Copying if replicated(&self.ids) || self.since.saturating_add(ACK_TIMEOUT_US) <= now => {
+                (self.phase, self.since) = (Phase::Reported, now);
+                NextStep::Report
             }
-            Step::Reported if self.since.saturating_add(ACK_TIMEOUT_US) <= now => {
+            Phase::Reported if self.since.saturating_add(ACK_TIMEOUT_US) <= now => {
                 self.since = now; // the report may be lost with the leader
-                Next::Report
+                NextStep::Report
             }
-            Step::Keeping | Step::Reported => Next::Wait,
+            Phase::Copying | Phase::Reported => NextStep::Wait,
         }
     }
 
-    fn fetch(&mut self, now: Micros, alive: impl Fn(&str) -> bool) -> Next {
+    fn fetch(&mut self, now: Micros, alive: impl Fn(&str) -> bool) -> NextStep {
         let waited = now.saturating_sub(self.since);
-        let there = |name: &String, f: &From| alive(name) && !(f.answered && f.kept.is_none());
-        let open = self.from.iter().filter(|(name, f)| !f.over && there(name, f)).count();
-        let have = self.from.values().any(|f| f.over && f.kept.is_some());
-        let patience = if have { REPLICA_TIMEOUT_US } else { NO_REPLICA_TIMEOUT_US };
-        if open == 0 || waited >= patience {
-            let of_all = self.from.values().filter(|f| f.over && f.kept.is_some());
-            let best = of_all.max_by_key(|f| f.kept.map(|(seq, complete)| (complete, seq)));
+        let available = |name: &String, f: &ReplicaFetch| alive(name) && !(f.answered && f.kept.is_none());
+        let unfinished = self.from.iter().filter(|(name, f)| !f.finished && available(name, f)).count();
+        let any_finished = self.from.values().any(|f| f.finished && f.kept.is_some());
+        let timeout = if any_finished { REPLICA_TIMEOUT_US } else { NO_REPLICA_TIMEOUT_US };
+        if unfinished == 0 || waited >= timeout {
+            let finished = self.from.values().filter(|f| f.finished && f.kept.is_some());
+            let best = finished.max_by_key(|f| f.kept.map(|(seq, complete)| (complete, seq)));
             let complete = best.and_then(|f| f.kept).map(|(_, complete)| complete);
             let records = best.map(|f| f.records.clone()).unwrap_or_default();
             self.ids = records.keys().copied().collect();
-            (self.step, self.since) = (Step::Keeping, now);
+            (self.phase, self.since) = (Phase::Copying, now);
             self.from.clear();
-            return Next::Keep(records.into_iter().collect(), complete);
+            return NextStep::Store(records.into_iter().collect(), complete);
         }
         let takeover = &self.takeover;
         let mut messages = Vec::new();
         for (name, from) in &mut self.from {
-            if from.over
+            if from.finished
                 || !alive(name)
                 || from.asked_at.saturating_add(RESEND_AFTER_US) > now && from.asked_at > 0
             {
@@ -139,10 +139,10 @@
             }
             from.asked_at = now;
             let (owner, incarnation) = (takeover.owner.clone(), takeover.incarnation);
-            let (part, of, behind) = (takeover.part, takeover.of, from.behind);
-            messages.push((name.clone(), Message::FetchReplica { owner, incarnation, part, of, behind }));
+            let (part, of, after) = (takeover.part, takeover.of, from.after);
+            messages.push((name.clone(), Message::FetchReplica { owner, incarnation, part, of, after }));
         }
-        if messages.is_empty() { Next::Wait } else { Next::Ask(messages) }
+        if messages.is_empty() { NextStep::Wait } else { NextStep::Send(messages) }
     }
 }
 
@@ -150,7 +150,7 @@
 #[derive(Clone, Debug)]
 pub struct Page {
     /// The request that it answers.
-    pub behind: Option<Id>,
+    pub after: Option<Id>,
     /// See [`Message::ReplicaPage`].
     pub kept: Option<(u64, bool)>,
     /// The sessions.
@@ -177,7 +177,7 @@
         }
     }
 
-    fn page(kept: Option<(u64, bool)>, behind: Option<Id>, ids: &[Id], more: bool) -> Page {
+    fn page(kept: Option<(u64, bool)>, after: Option<Id>, ids: &[Id], more: bool) -> Page {
         let record = Record {
             summary: RequestSummary::default(),
             streamer: "s".into(),
@@ -185,43 +185,54 @@
             rung: 0,
             epoch: 0,
         };
-        Page { behind, kept, records: ids.iter().map(|id| (*id, record.clone())).collect(), more }
+        Page { after, kept, records: ids.iter().map(|id| (*id, record.clone())).collect(), more }
     }
 
-    fn replicated(next: Next) -> (Vec<Id>, Option<bool>) {
-        let Next::Keep(records, complete) = next else { panic!("{next:?}") };
+    fn stored_records(next: NextStep) -> (Vec<Id>, Option<bool>) {
+        let NextStep::Store(records, complete) = next else { panic!("{next:?}") };
         (records.into_iter().map(|(id, _)| id).collect(), complete)
     }
 
     #[test]
     fn the_later_of_two_replicas_counts_and_pages_are_fetched_in_order() {
         let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
-        assert!(matches!(task.look(0, |_| true, |_| true), Next::Ask(messages) if messages.len() == 2));
+        assert!(
+            matches!(task.next_step(0, |_| true, |_| true), NextStep::Send(messages) if messages.len() == 2)
+        );
         task.page(10, "k", page(Some((3, true)), None, &[1, 2], true));
         task.page(10, "l", page(Some((4, true)), None, &[1], false));
-        assert!(matches!(task.look(20, |_| true, |_| true), Next::Ask(messages) if messages.len() == 1));
+        assert!(
+            matches!(task.next_step(20, |_| true, |_| true), NextStep::Send(messages) if messages.len() == 1)
+        );
         // A repeated page for the first request.
         task.page(30, "k", page(Some((3, true)), None, &[9], false));
         task.page(30, "k", page(Some((3, true)), Some(2), &[3], false));
-        assert_eq!(replicated(task.look(40, |_| true, |_| true)), (vec![1], Some(true)));
-        assert_eq!(task.look(50, |_| true, |_| false), Next::Wait);
-        assert_eq!(task.look(60, |_| true, |_| true), Next::Report);
-        assert_eq!(task.look(70, |_| true, |_| true), Next::Wait);
-        assert_eq!(task.look(70 + ACK_TIMEOUT_US, |_| true, |_| true), Next::Report, "again");
+        assert_eq!(stored_records(task.next_step(40, |_| true, |_| true)), (vec![1], Some(true)));
+        assert_eq!(task.next_step(50, |_| true, |_| false), NextStep::Wait);
+        assert_eq!(task.next_step(60, |_| true, |_| true), NextStep::Report);
+        assert_eq!(task.next_step(70, |_| true, |_| true), NextStep::Wait);
+        assert_eq!(task.next_step(70 + ACK_TIMEOUT_US, |_| true, |_| true), NextStep::Report, "again");
     }
 
     #[test]
     fn a_silent_replica_is_skipped_and_without_any_nothing_is_known() {
         let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
-        let _ = task.look(0, |_| true, |_| true);
+        let _ = task.next_step(0, |_| true, |_| true);
         task.page(10, "l", page(Some((4, false)), None, &[1], false));
-        assert!(matches!(task.look(RESEND_AFTER_US, |_| true, |_| true), Next::Ask(_)));
-        assert_eq!(replicated(task.look(REPLICA_TIMEOUT_US, |_| true, |_| true)), (vec![1], Some(false)));
+        assert!(matches!(task.next_step(RESEND_AFTER_US, |_| true, |_| true), NextStep::Send(_)));
+        assert_eq!(
+            stored_records(task.next_step(REPLICA_TIMEOUT_US, |_| true, |_| true)),
+            (vec![1], Some(false))
+        );
         let mut task = TakeoverTask::new(0, takeover(&["k", "l"]));
-        assert_eq!(replicated(task.look(0, |_| false, |_| true)), (vec![], None));
+        assert_eq!(stored_records(task.next_step(0, |_| false, |_| true)), (vec![], None));
         let mut task = TakeoverTask::new(0, takeover(&["k"]));
-        let _ = task.look(0, |_| true, |_| true);
+        let _ = task.next_step(0, |_| true, |_| true);
         task.page(10, "k", page(None, None, &[], false));
-        assert_eq!(replicated(task.look(20, |_| true, |_| true)), (vec![], None), "it has no replica");
+        assert_eq!(
+            stored_records(task.next_step(20, |_| true, |_| true)),
+            (vec![], None),
+            "it has no replica"
+        );
     }
 }
--- a/crates/continuity/tests/traffic.rs
+++ b/crates/continuity/tests/traffic.rs
@@ -107,7 +107,7 @@
                         let to = to.strip_prefix('d').and_then(|n| n.parse().ok()).expect("a director");
                         next.push((i, to, message));
                     }
-                    Action::Propose(command) => drop(ownership.take(command)),
+                    Action::Propose(command) => drop(ownership.apply_command(command)),
                     Action::ConfirmLeadership => confirmed = true,
                     _ => {}
                 }
--- a/crates/continuity/tests/world/mod.rs
+++ b/crates/continuity/tests/world/mod.rs
@@ -284,7 +284,7 @@
                 }
             }
             NetworkEvent::Command(command) => {
-                let _ = self.ownership.take(command);
+                let _ = self.ownership.apply_command(command);
             }
             NetworkEvent::Confirm(i, incarnation, term) => {
                 let led =
