--- a/crates/continuity/src/member.rs
+++ b/crates/continuity/src/member.rs
@@ -1,44 +1,45 @@
-//! Who is in the fleet, as far as estates go, and whom a key falls to.
-use crate::record::suits;
+//! Fleet members, and the choice of replicas and registers among them.
+use crate::record::rendezvous_weight;
 
-/// A director, as this one sees it.
+/// A director as this one sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its name.
     pub name: String,
     /// Its hall.
     pub hall: String,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
-    /// It is in the fleet and serves.
-    pub serves: bool,
-    /// It is in the fleet.
-    pub is_in: bool,
+    /// Whether it is in the fleet and accepts requests.
+    pub serving: bool,
+    /// Whether it is in the fleet.
+    pub in_fleet: bool,
 }
 
-/// The two keepers of a director: the best by rendezvous hashing, and the best of another hall than the
-/// director's where there is one, so that a hall that is lost takes no estate along.
-pub fn keepers(members: &[Member], me: &str, hall: &str, but: &[String]) -> Vec<String> {
-    let key = crate::record::hashed(me);
-    let mut able: Vec<&Member> =
-        members.iter().filter(|m| m.serves && m.name != me && !but.contains(&m.name)).collect();
-    able.sort_by_key(|m| std::cmp::Reverse(suits(key, &m.name)));
-    let away = able.iter().find(|m| m.hall != hall).or(able.first()).map(|m| m.name.clone());
-    let other = able.iter().map(|m| &m.name).find(|name| Some(*name) != away.as_ref()).cloned();
-    away.into_iter().chain(other).collect()
+/// Selects the two replicas of a director: the best by rendezvous hashing in another hall than the
+/// director's, if there is one, so that the loss of a hall does not lose a session set, and the best of the
+/// remaining ones.
+pub fn select_replicas(members: &[Member], me: &str, hall: &str, excluded: &[String]) -> Vec<String> {
+    let key = crate::record::hash_fnv1a(me);
+    let mut candidates: Vec<&Member> =
+        members.iter().filter(|m| m.serving && m.name != me && !excluded.contains(&m.name)).collect();
+    candidates.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
+    let elsewhere = candidates.iter().find(|m| m.hall != hall).or(candidates.first()).map(|m| m.name.clone());
+    let other = candidates.iter().map(|m| &m.name).find(|name| Some(*name) != elsewhere.as_ref()).cloned();
+    elsewhere.into_iter().chain(other).collect()
 }
 
 /// The two registers of a viewer and title.
 pub fn registers(members: &[Member], key: u64) -> Vec<String> {
-    let mut able: Vec<&Member> = members.iter().filter(|m| m.serves).collect();
-    able.sort_by_key(|m| std::cmp::Reverse(suits(key, &m.name)));
-    able.into_iter().take(2).map(|m| m.name.clone()).collect()
+    let mut candidates: Vec<&Member> = members.iter().filter(|m| m.serving).collect();
+    candidates.sort_by_key(|m| std::cmp::Reverse(rendezvous_weight(key, &m.name)));
+    candidates.into_iter().take(2).map(|m| m.name.clone()).collect()
 }
 
-/// The same with the lives of their processes: one that was restarted knows nothing of before.
-pub fn register_lives(members: &[Member], key: u64) -> Vec<(String, u64)> {
-    let life = |name: &String| members.iter().find(|m| m.name == *name).map_or(0, |m| m.incarnation);
-    registers(members, key).into_iter().map(|name| (life(&name), name)).map(|(l, n)| (n, l)).collect()
+/// The same with the incarnations of their processes: a process that was restarted has lost its register.
+pub fn register_incarnations(members: &[Member], key: u64) -> Vec<(String, u64)> {
+    let incarnation = |name: &String| members.iter().find(|m| m.name == *name).map_or(0, |m| m.incarnation);
+    registers(members, key).into_iter().map(|name| (incarnation(&name), name)).map(|(l, n)| (n, l)).collect()
 }
 
 #[cfg(test)]
@@ -50,28 +51,28 @@
             name: format!("d{i}"),
             hall: ["a", "b"][i % 2].into(),
             incarnation: 1,
-            serves: true,
-            is_in: true,
+            serving: true,
+            in_fleet: true,
         };
         (0..n).map(of).collect()
     }
 
     #[test]
-    fn one_keeper_is_of_another_hall_nobody_keeps_for_itself_and_few_move_when_one_goes() {
+    fn one_replica_is_in_another_hall_none_at_the_owner_and_a_loss_moves_no_others() {
         let all = fleet(60);
         let mut moved = 0;
         for m in &all {
-            let of = keepers(&all, &m.name, &m.hall, &[]);
+            let of = select_replicas(&all, &m.name, &m.hall, &[]);
             assert!(of.len() == 2 && !of.contains(&m.name) && of[0] != of[1]);
             let hall = |name: &String| all.iter().find(|m| m.name == *name).map(|m| m.hall.clone());
             assert_ne!(hall(&of[0]), Some(m.hall.clone()));
             let fewer: Vec<Member> = all.iter().filter(|m| m.name != "d7").cloned().collect();
-            let after = keepers(&fewer, &m.name, &m.hall, &[]);
+            let after = select_replicas(&fewer, &m.name, &m.hall, &[]);
             moved += usize::from(after != of && !of.contains(&"d7".to_owned()));
-            assert!(!keepers(&all, &m.name, &m.hall, &of).iter().any(|k| of.contains(k)));
+            assert!(!select_replicas(&all, &m.name, &m.hall, &of).iter().any(|k| of.contains(k)));
         }
-        assert_eq!(moved, 0, "one that goes moves only what it kept");
-        assert_eq!(keepers(&fleet(1), "d0", "a", &[]), Vec::<String>::new());
+        assert_eq!(moved, 0, "a lost member moves only its own replicas");
+        assert_eq!(select_replicas(&fleet(1), "d0", "a", &[]), Vec::<String>::new());
         assert_eq!(registers(&all, 5).len(), 2);
     }
 }
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -1,6 +1,6 @@
-//! Sessions that outlive their director, at the loop: hands words, what is agreed, who is there and the time
-//! to this director's part (`stonewharf-continuity`), and carries out what that wants done. Exists only where
-//! the block `continuity` is on. Decides nothing; no viewer's answer waits for it.
+//! Session continuity in the event loop: feeds messages, the agreed ownership, the fleet's members and the
+//! time to the coordinator (`stonewharf-continuity`) and carries out its actions. Exists only where the block
+//! `continuity` is on. It decides nothing, and no answer to a viewer waits for it.
 use super::Node;
 use super::clock::Clock;
 use super::peers::Peers;
@@ -13,243 +13,256 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use stonewharf_continuity::{
-    Command, Deed, Estates, Hand, Member, News, Record, SharedHand, StrayKind, Stub,
+    Action, Command, Coordinator, EndKind, LogEvent, Member, OwnershipState, Record, RequestSummary,
+    SharedCoordinator,
 };
 use stonewharf_fleet::{Phase, Standing};
 
-/// Nobody's connection: inherited sessions came on none.
-const NOBODY: ViewerLink = ViewerLink(usize::MAX);
+/// Link of sessions that were taken over: they have no viewer connection here.
+const NO_LINK: ViewerLink = ViewerLink(usize::MAX);
 
-/// Whether this director may act on a session, at the moment at which it is asked: bytes that were decided on
-/// before this process stood still must not go out after.
+/// Tells whether this director may act on a session, checked as bytes are written: what was decided before
+/// this process was paused must not be sent afterwards.
 #[derive(Clone)]
-pub struct Leave {
-    hand: Rc<RefCell<Hand>>,
+pub struct ActPermission {
+    coordinator: Rc<RefCell<Coordinator>>,
     clock: Clock,
 }
 
-impl Leave {
-    /// Whether what is to be done to a session by this director's own will may go out now.
+impl ActPermission {
+    /// Whether an act on the session, on this director's own initiative, may be sent now.
     pub fn may_act(&self, session: RequestId) -> bool {
-        self.hand.borrow().may_act(self.clock.now(), session.0)
+        self.coordinator.borrow().may_act(self.clock.now(), session.0)
     }
 }
 
-/// What is to be agreed.
+/// What the replicated log has to agree on.
 #[derive(Default)]
-pub struct Asked {
-    /// Commands.
-    pub orders: Vec<Command>,
-    /// The lead is to be confirmed.
-    pub confirm: bool,
+pub struct ToAgree {
+    /// Commands to propose.
+    pub commands: Vec<Command>,
+    /// Whether the leadership has to be confirmed.
+    pub confirm_leadership: bool,
 }
 
-/// This director's part at the loop.
-pub struct Hands {
-    hand: SharedHand,
+/// The coordinator in the event loop.
+pub struct ContinuityDriver {
+    coordinator: SharedCoordinator,
     version: Option<u64>,
-    words: Vec<(String, Vec<u8>)>,
-    /// What the node has to do.
-    deeds: Vec<Deed>,
+    messages: Vec<(String, Vec<u8>)>,
+    /// Actions for the node to carry out.
+    actions: Vec<Action>,
 }
 
-impl Hands {
-    /// The part of one director.
-    pub fn new(hand: SharedHand) -> Hands {
-        Hands { hand, version: None, words: Vec::new(), deeds: Vec::new() }
+impl ContinuityDriver {
+    /// The driver of one coordinator.
+    pub fn new(coordinator: SharedCoordinator) -> ContinuityDriver {
+        ContinuityDriver { coordinator, version: None, messages: Vec::new(), actions: Vec::new() }
     }
 
-    /// What is asked as bytes go out.
-    pub fn leave(&self, clock: Clock) -> Leave {
-        Leave { hand: Rc::clone(&self.hand.0), clock }
+    /// The permission to check as bytes are written.
+    pub fn act_permission(&self, clock: Clock) -> ActPermission {
+        ActPermission { coordinator: Rc::clone(&self.coordinator.0), clock }
     }
 
-    /// Takes a word; false where it can't be read.
-    pub fn hear(&mut self, now: Micros, from: &str, word: &[u8]) -> bool {
-        self.hand.0.borrow_mut().hear_bytes(now, from, word).is_ok()
+    /// Takes an encoded message; false if it can't be decoded.
+    pub fn receive(&mut self, now: Micros, from: &str, message: &[u8]) -> bool {
+        self.coordinator.0.borrow_mut().receive_bytes(now, from, message).is_ok()
     }
 
-    /// The answer to a question for confirmation.
-    pub fn confirmed(&mut self, now: Micros, confirmed: bool) {
-        self.hand.0.borrow_mut().confirmed(now, confirmed);
+    /// The result of a leadership confirmation.
+    pub fn leadership_confirmed(&mut self, now: Micros, confirmed: bool) {
+        self.coordinator.0.borrow_mut().leadership_confirmed(now, confirmed);
     }
 
-    /// When [`Hands::turned`] wants to be called next.
-    pub fn next(&self) -> Micros {
-        self.hand.0.borrow().next()
+    /// When [`ContinuityDriver::tick`] has to be called next.
+    pub fn next_tick_at(&self) -> Micros {
+        self.coordinator.0.borrow().next_tick_at()
     }
 
-    /// Tells its part what there is to tell; returns what is to be agreed.
-    pub fn turned(&mut self, shared: &Shared, peers: &Peers, estates: &Estates, leads: bool) -> Asked {
+    /// Feeds the current state to the coordinator; returns what has to be agreed.
+    pub fn tick(
+        &mut self,
+        shared: &Shared,
+        peers: &Peers,
+        ownership: &OwnershipState,
+        leads: bool,
+    ) -> ToAgree {
         let now = shared.now;
-        let mut hand = self.hand.0.borrow_mut();
+        let mut coordinator = self.coordinator.0.borrow_mut();
         if self.version != Some(peers.version()) {
             self.version = Some(peers.version());
-            hand.members(now, members(peers, shared));
+            coordinator.set_members(now, members(peers, shared));
         }
-        hand.agreed(now, estates);
-        hand.leads(now, leads);
-        hand.due(now);
-        drop(hand);
-        let mut asked = Asked::default();
-        self.gather(&mut asked);
-        asked
+        coordinator.apply_ownership(now, ownership);
+        coordinator.set_leading(now, leads);
+        coordinator.tick(now);
+        drop(coordinator);
+        let mut to_agree = ToAgree::default();
+        self.gather(&mut to_agree);
+        to_agree
     }
 
-    fn gather(&mut self, asked: &mut Asked) {
-        for deed in self.hand.0.borrow_mut().take() {
-            match deed {
-                Deed::Send(to, word) => self.words.push((to, word.write())),
-                Deed::Order(command) => asked.orders.push(command),
-                Deed::Confirm => asked.confirm = true,
-                deed => self.deeds.push(deed),
+    fn gather(&mut self, to_agree: &mut ToAgree) {
+        for action in self.coordinator.0.borrow_mut().take_actions() {
+            match action {
+                Action::Send(to, message) => self.messages.push((to, message.encode())),
+                Action::Propose(command) => to_agree.commands.push(command),
+                Action::ConfirmLeadership => to_agree.confirm_leadership = true,
+                action => self.actions.push(action),
             }
         }
     }
 
-    /// What is to be said; what is to be agreed waits for the end of the turn.
-    pub fn words(&mut self) -> Vec<(String, Vec<u8>)> {
-        let deeds = self.hand.0.borrow_mut().take();
+    /// Messages to send now; other actions wait for the end of the turn.
+    pub fn take_messages(&mut self) -> Vec<(String, Vec<u8>)> {
+        let actions = self.coordinator.0.borrow_mut().take_actions();
         let mut kept = Vec::new();
-        for deed in deeds {
-            match deed {
-                Deed::Send(to, word) => self.words.push((to, word.write())),
-                deed => kept.push(deed),
+        for action in actions {
+            match action {
+                Action::Send(to, message) => self.messages.push((to, message.encode())),
+                action => kept.push(action),
             }
         }
-        self.hand.0.borrow_mut().put_back(kept);
-        std::mem::take(&mut self.words)
+        self.coordinator.0.borrow_mut().put_back_actions(kept);
+        std::mem::take(&mut self.messages)
     }
 }
 
-/// The fleet, as far as estates go.
+/// The fleet's members, as the coordinator needs them.
 fn members(peers: &Peers, shared: &Shared) -> Vec<Member> {
     let of = |m: stonewharf_fleet::MemberView| {
-        let is_in = m.standing == Standing::In;
-        let serves = is_in && m.phase == Phase::Serving;
-        Member { name: m.name, hall: m.hall, incarnation: m.incarnation, serves, is_in }
+        let in_fleet = m.standing == Standing::In;
+        let serving = in_fleet && m.phase == Phase::Serving;
+        Member { name: m.name, hall: m.hall, incarnation: m.incarnation, serving, in_fleet }
     };
     peers.view(shared).members.into_iter().map(of).collect()
 }
 
 impl Node {
-    fn hand(&self) -> Option<SharedHand> {
-        self.agreement.as_ref()?.hands.as_ref().map(|hands| hands.hand.clone())
+    fn coordinator(&self) -> Option<SharedCoordinator> {
+        self.agreement.as_ref()?.hands.as_ref().map(|driver| driver.coordinator.clone())
     }
 
-    /// A viewer's set-up came: what an heir would have to know of it.
-    pub(super) fn estate_wanted(&mut self, id: u64, stub: impl FnOnce() -> Stub) {
-        if let Some(hand) = self.hand() {
-            hand.0.borrow_mut().wanted(id, stub());
+    /// A set-up request arrived: notes what a successor would have to know of it.
+    pub(super) fn continuity_note_request(&mut self, id: u64, summary: impl FnOnce() -> RequestSummary) {
+        if let Some(coordinator) = self.coordinator() {
+            coordinator.0.borrow_mut().note_request(id, summary());
         }
     }
 
-    /// The list's news: names of streamers, and whose processes are new or gone.
-    pub(super) fn estate_listed(&mut self, now: Micros, listed: &[(StreamerId, bool)]) {
-        let Some(hand) = self.hand() else { return };
-        let mut hand = hand.0.borrow_mut();
+    /// Discovery news: names of streamers, and streamers that were restarted or are gone.
+    pub(super) fn continuity_streamers_listed(&mut self, now: Micros, listed: &[(StreamerId, bool)]) {
+        let Some(coordinator) = self.coordinator() else { return };
+        let mut coordinator = coordinator.0.borrow_mut();
         for (streamer, anew) in listed {
             let Some(name) = self.names.streamers.resolve(streamer.0) else { continue };
-            hand.named([(*streamer, name.to_owned())]);
+            coordinator.set_streamer_names([(*streamer, name.to_owned())]);
             if *anew {
-                hand.restarted(now, name);
+                coordinator.streamer_restarted(now, name);
             }
         }
     }
 
-    /// Looks through what came in, ahead of the core: what another director's heir must hear, proofs, and
-    /// losses of streamers that a director without a lease must not act on.
-    pub(super) fn estate_inputs(&mut self, inputs: &mut Vec<Input>) {
-        let Some(hand) = self.hand() else { return };
-        let mut hand = hand.0.borrow_mut();
+    /// Filters the inputs ahead of the core: session ends that another director's successor has to receive,
+    /// confirmations of ends, and losses of streamers that a director without a lease must not act on.
+    pub(super) fn continuity_inputs(&mut self, inputs: &mut Vec<Input>) {
+        let Some(coordinator) = self.coordinator() else { return };
+        let mut coordinator = coordinator.0.borrow_mut();
         let (now, director) = (self.shared.now, &self.director);
         inputs.retain(|input| {
             match input {
                 Input::Released { session, why, .. } if !director.holds(*session) => {
                     let what = match why {
-                        SessionEnd::Ended => StrayKind::Ended,
-                        SessionEnd::Cut => StrayKind::Cut,
-                        SessionEnd::Left => StrayKind::Left,
+                        SessionEnd::Ended => EndKind::Ended,
+                        SessionEnd::Cut => EndKind::Cut,
+                        SessionEnd::Left => EndKind::Left,
                     };
-                    hand.stray(now, session.0, what);
+                    coordinator.misrouted_end(now, session.0, what);
                 }
                 Input::ViewerLeft(_, session)
-                    if !director.holds(*session) || !hand.may_act(now, session.0) =>
+                    if !director.holds(*session) || !coordinator.may_act(now, session.0) =>
                 {
-                    hand.stray(now, session.0, StrayKind::Left);
+                    coordinator.misrouted_end(now, session.0, EndKind::Left);
                 }
-                Input::DropHeard(session) => hand.settled(now, session.0),
-                Input::Lost(_) => return hand.sessions() == 0 || hand.leased_until() > now,
+                Input::DropHeard(session) => coordinator.end_confirmed(now, session.0),
+                Input::Lost(_) => return coordinator.sessions() == 0 || coordinator.leased_until() > now,
                 _ => {}
             }
             true
         });
     }
 
-    /// Sends what has to leave ahead of the core's deeds.
-    pub(super) fn estate_words(&mut self) {
+    /// Sends the messages that have to leave before the core's outputs.
+    pub(super) fn continuity_send(&mut self) {
         if let (Some(agreed), Some(peers)) = (&mut self.agreement, &mut self.components.peers) {
             agreed.say_of_estates(&mut self.shared, peers);
         }
     }
 
-    /// This director leaves: it hands its estate over.
-    pub(super) fn estate_leaves(&mut self) {
-        if let Some(hand) = self.hand() {
-            hand.0.borrow_mut().leaves(self.shared.now);
+    /// This director leaves: it hands its sessions over.
+    pub(super) fn continuity_leave(&mut self) {
+        if let Some(coordinator) = self.coordinator() {
+            coordinator.0.borrow_mut().leave(self.shared.now);
         }
     }
 
-    /// Whether what stands is left to heirs at the end.
-    pub(super) fn has_heirs(&self) -> bool {
-        self.hand().is_some()
+    /// Whether successors take over the established sessions at the end.
+    pub(super) fn has_successors(&self) -> bool {
+        self.coordinator().is_some()
     }
 
-    /// Carries out what this director's part wants done.
-    pub(super) fn estate_deeds(&mut self) {
-        let hands = self.agreement.as_mut().and_then(|agreed| agreed.hands.as_mut());
-        let deeds = hands.map(|hands| std::mem::take(&mut hands.deeds)).unwrap_or_default();
-        for deed in deeds {
-            match deed {
-                Deed::Adopt(records) => records.into_iter().for_each(|(id, record)| self.adopt(id, &record)),
-                Deed::Settle(id, streamer) => {
+    /// Carries out the coordinator's actions.
+    pub(super) fn continuity_actions(&mut self) {
+        let driver = self.agreement.as_mut().and_then(|agreed| agreed.hands.as_mut());
+        let actions = driver.map(|driver| std::mem::take(&mut driver.actions)).unwrap_or_default();
+        for action in actions {
+            match action {
+                Action::Adopt(records) => {
+                    records.into_iter().for_each(|(id, record)| self.adopt(id, &record))
+                }
+                Action::EndAtStreamer(id, streamer) => {
                     if let Some(at) = self.names.streamers.get(&streamer).map(StreamerId) {
-                        let (id, word) = (RequestId(id), rtsp::release(RequestId(id)));
-                        self.components.streamers.send_control(&mut self.shared, at, word, Some(id));
+                        let (id, message) = (RequestId(id), rtsp::release(RequestId(id)));
+                        self.components.streamers.send_control(&mut self.shared, at, message, Some(id));
                     }
                 }
-                Deed::Yield(id) => self.shared.inputs.push(Input::ViewerLeft(NOBODY, RequestId(id))),
-                Deed::Cut(id, _) => {
+                Action::EndForReturn(id) => {
+                    self.shared.inputs.push(Input::ViewerLeft(NO_LINK, RequestId(id)))
+                }
+                Action::Release(id, _) => {
                     let shared = &mut self.shared;
                     let bytes = crate::platform::viewer::release(
                         RequestId(id),
                         crate::platform::viewer::CAUSE_FAILED,
                     );
-                    self.components.viewers.send_release(shared, NOBODY, bytes);
+                    self.components.viewers.send_release(shared, NO_LINK, bytes);
                 }
-                Deed::LayDown(ids) => {
+                Action::Forget(ids) => {
                     let ids = ids.into_iter().map(RequestId).collect();
                     self.shared.inputs.push(Input::LaidDown(ids));
                 }
-                Deed::Stray(id, streamer, what) => self.strayed(RequestId(id), &streamer, what),
-                Deed::Tell(news) => tell(&self.shared, &news),
-                Deed::Send(..) | Deed::Order(_) | Deed::Confirm => {} // gathered before
+                Action::MisroutedEnd(id, streamer, what) => {
+                    self.apply_misrouted_end(RequestId(id), &streamer, what)
+                }
+                Action::Log(event) => log_event(&self.shared, &event),
+                Action::Send(..) | Action::Propose(_) | Action::ConfirmLeadership => {} // handled in `gather`
             }
         }
     }
 
-    /// An inherited session enters the core as what is handed over at a start.
+    /// A session that was taken over enters the core like one that is handed over at a start.
     fn adopt(&mut self, id: u64, record: &Record) {
-        let stub = &record.stub;
+        let summary = &record.summary;
         let wanted = NamedRequest {
             id,
-            class: &stub.class,
+            class: &summary.class,
             tenant: None,
-            title: &stub.title,
-            viewer: &stub.viewer,
-            start_cell: stub.home,
-            cells_in_row: stub.copies,
-            max_rung: stub.top.map(|top| top as usize),
+            title: &summary.title,
+            viewer: &summary.viewer,
+            start_cell: summary.start_cell,
+            cells_in_row: summary.cells_in_row,
+            max_rung: summary.max_rung.map(|top| top as usize),
             left_us: 0,
             returned: false,
         };
@@ -257,22 +270,22 @@
             Ok(request) => {
                 let streamer = StreamerId(self.names.streamers.get(&record.streamer).unwrap_or(u32::MAX));
                 self.director.set_inherited_rungs(vec![(request.id, usize::from(record.rung))]);
-                self.shared.inputs.push(Input::Playing { link: NOBODY, request, streamer });
+                self.shared.inputs.push(Input::Playing { link: NO_LINK, request, streamer });
             }
             Err(why) => {
-                warn!(self.shared.log, "an inherited session can't be taken: {why}; do all directors \
+                warn!(self.shared.log, "a session can't be taken over: {why}; do all directors \
                 have the same settings?"; "session" => format!("{id:016x}"))
             }
         }
     }
 
-    /// Another director heard something on a session of this one.
-    fn strayed(&mut self, session: RequestId, streamer: &str, what: StrayKind) {
+    /// Another director received the end of one of this director's sessions.
+    fn apply_misrouted_end(&mut self, session: RequestId, streamer: &str, what: EndKind) {
         let Some(streamer) = self.names.streamers.get(streamer).map(StreamerId) else { return };
         let why = match what {
-            StrayKind::Left => return self.shared.inputs.push(Input::ViewerLeft(NOBODY, session)),
-            StrayKind::Ended => SessionEnd::Ended,
-            StrayKind::Cut => SessionEnd::Cut,
+            EndKind::Left => return self.shared.inputs.push(Input::ViewerLeft(NO_LINK, session)),
+            EndKind::Ended => SessionEnd::Ended,
+            EndKind::Cut => SessionEnd::Cut,
         };
         let (description, report) = (Vec::new(), LoadReport::default());
         let released = Input::Released { streamer, session, number: None, why, description, report };
@@ -280,44 +293,56 @@
     }
 }
 
-/// One line for what has changed; the keys are stable, see docs/operators/continuity.md.
-fn tell(shared: &Shared, news: &News) {
+/// Logs an event in one line; the keys are stable, see docs/operators/continuity.md.
+fn log_event(shared: &Shared, event: &LogEvent) {
     let (log, now) = (&shared.log, shared.now);
     let hex = |id: &u64| format!("{id:016x}");
-    match news {
-        News::Leased(life) => info!(log, "estate: leased"; "at_us" => now, "life" => life),
-        News::Lapsed(sessions) => {
-            warn!(log, "estate: the lease ran out, its sessions are not acted on"; "at_us" => now,
+    match event {
+        LogEvent::LeaseAcquired(incarnation) => {
+            info!(log, "continuity: lease acquired"; "at_us" => now, "life" => incarnation)
+        }
+        LogEvent::LeaseExpired(sessions) => {
+            warn!(log, "continuity: the lease expired; the sessions are not acted on"; "at_us" => now,
                 "sessions" => sessions);
         }
-        News::LaidDown(life, sessions) => {
-            warn!(log, "estate: laid down, it is another's"; "at_us" => now, "life" => life,
+        LogEvent::HandedOver(incarnation, sessions) => {
+            warn!(log, "continuity: the session set was handed over to other directors"; "at_us" => now,
+                "life" => incarnation,
                 "sessions" => sessions);
         }
-        News::TakesOver(owner, life, epoch) => info!(log, "estate: takes over"; "at_us" => now,
-            "owner" => owner, "life" => life, "epoch" => epoch),
-        News::TookOver { owner, epoch, sessions, out, whole } => {
-            let kept = match whole {
+        LogEvent::TakeoverStarted(owner, incarnation, epoch) => {
+            info!(log, "continuity: takeover started"; "at_us" => now,
+            "owner" => owner, "life" => incarnation, "epoch" => epoch)
+        }
+        LogEvent::TakeoverDone { owner, epoch, sessions, out, complete } => {
+            let kept = match complete {
                 Some(true) => "all",
                 Some(false) => "some",
                 None => "nothing",
             };
-            info!(log, "estate: taken over"; "at_us" => now, "owner" => owner, "epoch" => epoch,
+            info!(log, "continuity: takeover complete"; "at_us" => now, "owner" => owner, "epoch" => epoch,
                 "sessions" => sessions, "out" => out, "kept" => kept);
         }
-        News::Keepers(names) => {
-            info!(log, "estate: keepers"; "at_us" => now, "keepers" => names.join(" "));
+        LogEvent::ReplicasChosen(names) => {
+            info!(log, "continuity: replicas chosen"; "at_us" => now, "keepers" => names.join(" "));
+        }
+        LogEvent::ReplicaLags(name) => {
+            warn!(log, "continuity: a replica lags behind; another one is chosen"; "at_us" => now,
+                "keeper" => name);
+        }
+        LogEvent::GrantorTermStarted(grantor_term) => {
+            info!(log, "continuity: this director grants leases"; "at_us" => now, "reign" => grantor_term)
+        }
+        LogEvent::Closing(name, incarnation) => {
+            info!(log, "continuity: closing an incarnation"; "at_us" => now, "owner" => name,
+            "life" => incarnation)
         }
-        News::Lags(name) => {
-            warn!(log, "estate: a keeper lags, another is asked"; "at_us" => now, "keeper" => name);
+        LogEvent::EndConfirmed(id) => {
+            debug!(log, "continuity: the end of a session is confirmed"; "session" => hex(id))
         }
-        News::Reigns(reign) => info!(log, "estate: gives leases"; "at_us" => now, "reign" => reign),
-        News::Closes(name, life) => info!(log, "estate: closes a life"; "at_us" => now, "owner" => name,
-            "life" => life),
-        News::Settled(id) => debug!(log, "estate: an attempt is settled"; "session" => hex(id)),
-        News::Unsettled(id) => {
-            warn!(log, "estate: an attempt can't be settled, its streamer does not answer"; "at_us" => now,
-                "session" => hex(id));
+        LogEvent::EndUnconfirmed(id) => {
+            warn!(log, "continuity: the end of a session can't be confirmed; its streamer does not answer";
+                "at_us" => now, "session" => hex(id));
         }
     }
 }
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -91,7 +91,7 @@
         let deadline = self.lifecycle.stop_deadline().unwrap_or(self.shared.now);
         info!(self.shared.log, "asked to end"; "grace_ms" => deadline.saturating_sub(self.shared.now) / 1000);
         self.components.peers.iter_mut().for_each(|peers| peers.leaving(self.shared.now));
-        self.estate_leaves();
+        self.continuity_leave();
         self.shared.deadlines.set(deadline, Deadline::PhaseEnd);
         if !self.lifecycle.accepts_connections() {
             self.components.viewers.stop_accepting(&self.shared);
@@ -181,7 +181,7 @@
 
     /// Returns whether established sessions are left to another process instead of being released.
     fn hands_over_sessions(&self) -> bool {
-        self.lifecycle.hands_over_sessions() || self.has_heirs()
+        self.lifecycle.hands_over_sessions() || self.has_successors()
     }
 
     /// Advances the shutdown at the end of a turn: answers pending requests, shuts down connections, and
@@ -205,7 +205,7 @@
     fn close_sessions(&mut self) {
         self.phase = ShutdownPhase::Closing { since: self.shared.now };
         if let Some(place) = &self.handover_file
-            && let Err(why) = estate::leave(place, &self.director.sessions_to_hand_over())
+            && let Err(why) = estate::write(place, &self.director.sessions_to_hand_over())
         {
             warn!(self.shared.log, "rungs can't be stored for the next process: {why}");
         }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -11,7 +11,7 @@
 use slog::{debug, warn};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use stonewharf_continuity::Stub;
+use stonewharf_continuity::RequestSummary;
 use stonewharf_rollout::SharedDrains;
 
 /// The deadline that a viewer requests is limited to the longest configured deadline times this factor, so
@@ -72,13 +72,13 @@
             self.load_handover();
         } else {
             let max_rung = set_up.max_rung.and_then(|top| u32::try_from(top).ok());
-            self.estate_wanted(set_up.session, || Stub {
+            self.continuity_note_request(set_up.session, || RequestSummary {
                 class: set_up.class.clone(),
                 title: set_up.title.clone(),
                 viewer: set_up.viewer.clone(),
-                home: set_up.start_cell,
-                copies: set_up.cells_in_row,
-                top: max_rung,
+                start_cell: set_up.start_cell,
+                cells_in_row: set_up.cells_in_row,
+                max_rung,
             });
         }
         self.shared.inputs.push(match &set_up.playing_at {
@@ -115,7 +115,7 @@
             let restarted =
                 |e: &Entry| e.standing == Standing::Gone || e.started_at.is_some_and(|at| at > recent_us);
             let listed: Vec<_> = entries.iter().map(|(e, _)| (e.streamer, restarted(e))).collect();
-            self.estate_listed(self.shared.now, &listed);
+            self.continuity_streamers_listed(self.shared.now, &listed);
         }
         self.components.streamers.apply_list(&mut self.shared, scope, &entries);
         for (entry, _) in entries.iter().filter(|e| e.0.standing == Standing::Gone) {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -146,7 +146,7 @@
                 break;
             }
             let mut inputs = std::mem::take(&mut self.shared.inputs);
-            self.estate_inputs(&mut inputs);
+            self.continuity_inputs(&mut inputs);
             for input in inputs.iter().filter(|_| self.tracing).filter_map(trace::describe_input) {
                 trace!(self.shared.log, "in"; "input" => input);
             }
@@ -155,7 +155,7 @@
             for output in outputs.iter().filter(|_| self.tracing).filter_map(trace::describe_output) {
                 trace!(self.shared.log, "out"; "deed" => output);
             }
-            self.estate_words();
+            self.continuity_send();
             outputs.into_iter().for_each(|output| self.execute(output));
         }
         self.components.streamers.flush(&mut self.shared);
@@ -165,7 +165,7 @@
         {
             self.begin_shutdown();
         }
-        self.estate_deeds();
+        self.continuity_actions();
         self.advance_shutdown();
         Ok(())
     }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -1,5 +1,5 @@
 //! State that all components of the event loop share: poller, deadlines, queued inputs and events, counters.
-use super::hand::Leave;
+use super::hand::ActPermission;
 use super::poll::{Poll, Token};
 use crate::director::{self, Attempt, Counters, Deadlines, Input, ViewerLink};
 use crate::interface::{Micros, RequestId};
@@ -73,14 +73,14 @@
     pub now: Micros,
     /// Checks, at the moment bytes are written, whether a session still belongs to this director or already
     /// to another one. `None` if sessions end with their director.
-    pub ownership: Option<Leave>,
+    pub ownership: Option<ActPermission>,
 }
 
 impl Shared {
     /// Returns whether a message that this director sends about a session on its own initiative may be
     /// written now.
     pub fn may_act(&self, session: RequestId) -> bool {
-        self.ownership.as_ref().is_none_or(|leave| leave.may_act(session))
+        self.ownership.as_ref().is_none_or(|permission| permission.may_act(session))
     }
 
     /// Sets a deadline that passes `after` from now.
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -5,7 +5,7 @@
 use super::components::Components;
 use super::discovery::DiscoveryClient;
 use super::error::NodeError;
-use super::hand::Hands;
+use super::hand::ContinuityDriver;
 use super::lifecycle::{ShutdownPhase, grace_period_us};
 use super::peers::{self, Peers};
 use super::poll::{self, Poll};
@@ -20,7 +20,7 @@
 use crate::settings::NameRegistry;
 use slog::{Logger, info};
 use std::path::{Path, PathBuf};
-use stonewharf_continuity::{ContinuitySettings, Hand, SharedHand};
+use stonewharf_continuity::{ContinuitySettings, Coordinator, SharedCoordinator};
 use stonewharf_fleet::{Fleet, FleetSettings, Me};
 use stonewharf_halls::{HallSettings, Halls, SharedHalls};
 use stonewharf_operator::{Known, Operator};
@@ -60,7 +60,7 @@
     if folder.is_some() {
         Signals::handle_file_size_limit()?;
     }
-    let incarnation = lives::next(folder, now).map_err(|why| {
+    let incarnation = lives::next_incarnation(folder, now).map_err(|why| {
         NodeError::Fleet(format!(
             "folder {:?} can't store this director's incarnation number: {why}",
             settings.folder
@@ -80,11 +80,11 @@
     fleet: Option<&Fleet>,
     continuity: Option<ContinuitySettings>,
     now: Micros,
-) -> Option<SharedHand> {
+) -> Option<SharedCoordinator> {
     let member = fleet?.me();
     let (name, hall) = (member.name.to_string(), member.hall.to_string());
-    let me = stonewharf_continuity::Me { name, hall, incarnation: member.incarnation };
-    Some(SharedHand::new(Hand::new(continuity?, settings, names.classes(), me, now)))
+    let me = stonewharf_continuity::LocalDirector { name, hall, incarnation: member.incarnation };
+    Some(SharedCoordinator::new(Coordinator::new(continuity?, settings, names.classes(), me, now)))
 }
 
 /// Returns the settings of the halls. An absent block is disabled; a reload may add it.
@@ -182,8 +182,8 @@
             _ => None,
         };
         if let (Some(agreement), Some(hand)) = (&mut agreement, hand) {
-            let hands = Hands::new(hand);
-            shared.ownership = Some(hands.leave(clock.clone()));
+            let hands = ContinuityDriver::new(hand);
+            shared.ownership = Some(hands.act_permission(clock.clone()));
             agreement.hands = Some(hands);
         }
         let admin = match config.admin_addr {
@@ -226,7 +226,7 @@
             stop_requested: false,
             lifecycle,
             metrics,
-            handover_file: config.shared_dir().map(|folder| estate::place(folder, &config.name)),
+            handover_file: config.shared_dir().map(|folder| estate::file_path(folder, &config.name)),
             handover_loaded: false,
             phase: ShutdownPhase::Serving,
             tracing: false,
