--- a/crates/model/src/rollout.rs
+++ b/crates/model/src/rollout.rs
@@ -6,7 +6,8 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::Serialize;
 use stonewharf_rollout::{
-    Command, Holder, Member, OutSettings, Phase, Plan, Reply, Rollout, Scope, Step, StreamerSeen, Watch,
+    Command, DisruptionBudgets, DrainScope, HolderAction, ListedStreamer, Member, PermitHolder, Phase,
+    Reconciler, ReleasePlan, Reply, Rollout,
 };
 
 /// Simulated milliseconds of a step.
@@ -83,18 +84,19 @@
 /// A release over all directors.
 pub fn release(plan: &RolloutPlan, seed: u64) -> Rolled {
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
-    let budgets = OutSettings {
+    let budgets = DisruptionBudgets {
         directors: plan.out.0,
         directors_of_hall: plan.out.1,
         step_ms: 0,
-        ..OutSettings::default()
+        ..DisruptionBudgets::default()
     };
     let mut state = Rollout { budgets: budgets.clone(), ..Rollout::default() };
-    let mut watch = Watch::new();
+    let mut watch = Reconciler::new();
     let name = |i: usize| format!("d{i:04}");
     let mut does = vec![Does::Serves; plan.directors];
     let mut lives = vec![1u64; plan.directors];
-    let mut holders: Vec<Holder> = (0..plan.directors).map(|i| Holder::new(&name(i), 1)).collect();
+    let mut holders: Vec<PermitHolder> =
+        (0..plan.directors).map(|i| PermitHolder::new(&name(i), 1)).collect();
     let mut asks: Vec<u64> = (0..plan.directors).map(|_| dice.next_u64() % ASK_MS).collect();
     // What the leader sees, and what directors hear, both a while ago.
     let mut seen: Vec<(u64, Vec<Member>)> = Vec::new();
@@ -108,7 +110,7 @@
                 Does::Leaves(at) if at <= now => Does::Down(now + DOWN_MS),
                 Does::Down(at) if at <= now => {
                     lives[i] += 1;
-                    holders[i] = Holder::new(&name(i), lives[i]);
+                    holders[i] = PermitHolder::new(&name(i), lives[i]);
                     Does::Starts(now + START_MS)
                 }
                 Does::Starts(at) if at <= now => Does::Serves,
@@ -120,35 +122,45 @@
             name: name(i),
             hall: format!("hall-{}", i % 4),
             incarnation: lives[i],
-            serves: does[i] == Does::Serves,
-            is_in: !matches!(does[i], Does::Down(_)),
+            serving: does[i] == Does::Serves,
+            in_fleet: !matches!(does[i], Does::Down(_)),
             version: if lives[i] > 1 { "2" } else { "1" }.into(),
             settings: String::new(),
         });
         seen.push((now + VIEW_MS, members.collect()));
         let due = seen.partition_point(|(at, _)| *at <= now);
         if let Some((_, view)) = seen.drain(..due).next_back() {
-            for command in watch.look(now, &state, &budgets, &view, true) {
-                state.take(command);
+            for command in watch.reconcile_directors(now, &state, &budgets, &view, true) {
+                state.apply_command(command);
             }
         }
         if began == 0 && state.directors.len() == plan.directors {
             began = now;
             let (waves, watch_ms) = (plan.waves.clone(), plan.watch_ms);
-            let plan = Plan { name: "model".into(), version: "2".into(), waves, watch_ms, ..Plan::default() };
-            state.take(Command::ReleaseStart { plan, by: "model".into(), now_ms: now });
+            let plan = ReleasePlan {
+                name: "model".into(),
+                version: "2".into(),
+                waves,
+                watch_ms,
+                ..ReleasePlan::default()
+            };
+            state.apply_command(Command::ReleaseStart { plan, by: "model".into(), now_ms: now });
         }
         for (i, ask) in asks.iter_mut().enumerate().filter(|_| began > 0) {
             if now % ASK_MS < STEP_MS && does[i] == Does::Serves && lives[i] == 1 && *ask <= now {
                 *ask = now + dice.next_u64() % ASK_MS;
-                state.take(Command::ReleaseStep { name: name(i), by: "supervisor".into(), now_ms: now });
+                state.apply_command(Command::ReleaseStep {
+                    name: name(i),
+                    by: "supervisor".into(),
+                    now_ms: now,
+                });
             }
         }
         heard.push((now + HEARD_MS, state.clone()));
         let due = heard.partition_point(|(at, _)| *at <= now);
         if let Some((_, state)) = heard.drain(..due).next_back() {
             for i in 0..plan.directors {
-                if does[i] == Does::Serves && matches!(holders[i].look(now, &state), Step::Leave(_)) {
+                if does[i] == Does::Serves && matches!(holders[i].poll(now, &state), HolderAction::Leave(_)) {
                     does[i] = Does::Leaves(now + GRACE_MS);
                 }
             }
@@ -158,7 +170,7 @@
         let over =
             release.and_then(|r| r.watched_since.filter(|at| at + plan.watch_ms <= now).map(|_| r.watches));
         if let Some(watch) = over {
-            state.take(Command::ReleasePassed { watch, now_ms: now });
+            state.apply_command(Command::ReleasePassed { watch, now_ms: now });
         }
         if state.release.as_ref().is_some_and(|r| r.phase == Phase::Done) {
             break;
@@ -179,15 +191,15 @@
 /// Each streamer drained, replaced and opened again, as many at a time as the budgets allow.
 pub fn replacement(plan: &RolloutPlan, seed: u64) -> Rolled {
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
-    let budgets = OutSettings {
+    let budgets = DisruptionBudgets {
         streamers: plan.streamers_out,
         streamers_percent: 100,
         step_ms: 0,
-        ..OutSettings::default()
+        ..DisruptionBudgets::default()
     };
     let mut state = Rollout { budgets, ..Rollout::default() };
-    let mut watch = Watch::new();
-    let seen = |k: usize, up: bool| StreamerSeen {
+    let mut watch = Reconciler::new();
+    let seen = |k: usize, up: bool| ListedStreamer {
         name: format!("s{k:04}"),
         hall: format!("hall-{}", k % 4),
         rack: (k % 12) as u32,
@@ -209,10 +221,10 @@
     while now < end {
         now += STEP_MS;
         let list = (0..plan.streamers).map(|k| seen(k, !matches!(stages[k], Stage::Replaced(_)))).collect();
-        if let Some(command) = watch.streamers(now, &state, list, WARM_MS) {
-            state.take(command);
+        if let Some(command) = watch.reconcile_streamers(now, &state, list, WARM_MS) {
+            state.apply_command(command);
         }
-        state.take(Command::Time { now_ms: now });
+        state.apply_command(Command::Time { now_ms: now });
         if state.streamers.len() < plan.streamers {
             continue;
         }
@@ -220,10 +232,10 @@
         // Whoever replaces them asks for one after the other until it is refused.
         let mut given = true;
         for (k, stage) in stages.iter_mut().enumerate() {
-            let (scope, by) = (Scope::Streamer(format!("s{k:04}")), "model".to_owned());
+            let (scope, by) = (DrainScope::Streamer(format!("s{k:04}")), "model".to_owned());
             match *stage {
                 Stage::Old if given && asks <= now => {
-                    let reply = state.take(Command::Drain { scope, by, now_ms: now });
+                    let reply = state.apply_command(Command::Drain { scope, by, now_ms: now });
                     given = matches!(reply, Reply::Drained { .. });
                     if given {
                         *stage = Stage::Ends(now + HEARD_MS + ENDS_MS);
@@ -232,7 +244,7 @@
                 Stage::Ends(at) if at <= now => *stage = Stage::Replaced(now + REPLACED_MS),
                 Stage::Replaced(at) if at <= now => {
                     *stage = Stage::New;
-                    state.take(Command::Open { scope, by, now_ms: now });
+                    state.apply_command(Command::Open { scope, by, now_ms: now });
                 }
                 _ => {}
             }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -14,7 +14,7 @@
 use stonewharf_continuity::ContinuitySettings;
 use stonewharf_fleet::FleetSettings;
 use stonewharf_halls::HallSettings;
-use stonewharf_rollout::OutSettings;
+use stonewharf_rollout::DisruptionBudgets;
 
 /// The largest operator file, bytes: far above what any needs.
 pub const LARGEST: usize = 1 << 20;
@@ -32,7 +32,7 @@
     /// What they agree on, and who votes. Needs the block `fleet`.
     pub agreement: Option<AgreementSettings>,
     /// What may be out of service at a time. Needs the block `agreement`.
-    pub out: Option<OutSettings>,
+    pub out: Option<DisruptionBudgets>,
     /// Sessions that outlive their director. Needs the block `agreement`.
     pub continuity: Option<ContinuitySettings>,
 }
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -1,8 +1,8 @@
 //! What the agreed state is told, and what it answers. Times are Unix milliseconds of whoever led then; the
 //! state's own time is the latest that it was told and never goes back.
-use crate::release::Plan;
+use crate::release::ReleasePlan;
 use crate::rollout::Permit;
-use crate::settings::OutSettings;
+use crate::settings::DisruptionBudgets;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -18,7 +18,7 @@
 
 /// Which streamers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Scope {
+pub enum DrainScope {
     /// One, by its name on the list.
     Streamer(String),
     /// All of a rack.
@@ -27,19 +27,19 @@
     Hall(String),
 }
 
-impl fmt::Display for Scope {
+impl fmt::Display for DrainScope {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Scope::Streamer(name) => write!(f, "streamer {name}"),
-            Scope::Rack(rack) => write!(f, "rack {rack}"),
-            Scope::Hall(hall) => write!(f, "hall {hall}"),
+            DrainScope::Streamer(name) => write!(f, "streamer {name}"),
+            DrainScope::Rack(rack) => write!(f, "rack {rack}"),
+            DrainScope::Hall(hall) => write!(f, "hall {hall}"),
         }
     }
 }
 
 /// A streamer as the leader's list has it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct StreamerSeen {
+pub struct ListedStreamer {
     /// Its name on the list.
     pub name: String,
     /// Its hall.
@@ -63,7 +63,7 @@
         now_ms: u64,
     },
     /// Other budgets are in force.
-    Budgets(OutSettings),
+    Budgets(DisruptionBudgets),
     /// What the leader's view says of a director.
     Seen {
         /// Who.
@@ -117,7 +117,7 @@
     /// What the leader's list says of streamers.
     Streamers {
         /// Those of whom the state says something else.
-        seen: Vec<StreamerSeen>,
+        seen: Vec<ListedStreamer>,
         /// How long a streamer is cold, milliseconds.
         warm_up_ms: u64,
         /// Unix milliseconds.
@@ -126,7 +126,7 @@
     /// No new session is to go to these.
     Drain {
         /// Which.
-        scope: Scope,
+        scope: DrainScope,
         /// Who asked.
         by: String,
         /// Unix milliseconds.
@@ -135,7 +135,7 @@
     /// A release begins.
     ReleaseStart {
         /// What and how.
-        plan: Plan,
+        plan: ReleasePlan,
         /// Who says so.
         by: String,
         /// Unix milliseconds.
@@ -181,7 +181,7 @@
     /// Sessions may go there again, as to cold ones.
     Open {
         /// Which.
-        scope: Scope,
+        scope: DrainScope,
         /// Who says so.
         by: String,
         /// Unix milliseconds.
@@ -263,19 +263,19 @@
 
 impl Command {
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 }
 
 impl Reply {
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// From bytes.
-    pub fn read(bytes: &[u8]) -> Reply {
+    pub fn decode(bytes: &[u8]) -> Reply {
         postcard::from_bytes(bytes).unwrap_or(Reply::Unreadable)
     }
 }
--- a/crates/rollout/src/drains.rs
+++ b/crates/rollout/src/drains.rs
@@ -1,7 +1,7 @@
 //! The agreed drains of streamers at one director, behind the core's seam: a drained streamer is closed, and
 //! one that was opened again is told to the module as started at that moment, so that all directors together
 //! take it for cold from one agreed time on and pace it as the module paces any cold one. Only narrows.
-use crate::command::StreamerSeen;
+use crate::command::ListedStreamer;
 use crate::rollout::Rollout;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet};
@@ -45,7 +45,7 @@
 
     /// What was closed when this director last heard of it, in a life before: news that only narrow hold
     /// until what is agreed is heard again.
-    pub fn remembered(&mut self, names: impl IntoIterator<Item = String>) {
+    pub fn restore_closed(&mut self, names: impl IntoIterator<Item = String>) {
         self.closed_names = names.into_iter().collect();
     }
 
@@ -58,7 +58,7 @@
 
     /// Takes the list's news, before the module does: `named` gives each entry's name and hall. A streamer
     /// that was opened after it had started is told as started then.
-    pub fn list(&mut self, scope: ListScope, named: &[(String, String)], entries: &mut [Entry]) {
+    pub fn apply_list(&mut self, scope: ListScope, named: &[(String, String)], entries: &mut [Entry]) {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             self.known.values_mut().for_each(|k| k.entry.standing = Standing::Gone); // unless named below
         }
@@ -75,8 +75,8 @@
     }
 
     /// Takes what is agreed; returns what the module has to be told of streamers that were opened.
-    pub fn agree(&mut self, state: &Rollout) -> Vec<Entry> {
-        let closed = state.streamers.iter().filter(|(_, s)| s.closed()).map(|(name, _)| name.clone());
+    pub fn apply_agreed(&mut self, state: &Rollout) -> Vec<Entry> {
+        let closed = state.streamers.iter().filter(|(_, s)| s.is_closed()).map(|(name, _)| name.clone());
         self.closed_names = closed.collect();
         let opened = state.streamers.iter().filter(|(_, s)| s.opened_ms > 0);
         self.opened = opened.map(|(name, s)| (name.clone(), s.opened_ms.saturating_mul(1_000))).collect();
@@ -94,8 +94,8 @@
     }
 
     /// The streamers as this director's list has them, for the leader's watch.
-    pub fn seen(&self) -> Vec<StreamerSeen> {
-        let of = |(name, known): (&String, &Known)| StreamerSeen {
+    pub fn listed_streamers(&self) -> Vec<ListedStreamer> {
+        let of = |(name, known): (&String, &Known)| ListedStreamer {
             name: name.clone(),
             hall: known.hall.clone(),
             rack: known.entry.cell % self.racks,
@@ -112,7 +112,7 @@
     }
 
     /// Whether a streamer is closed here.
-    pub fn closed(&self, streamer: StreamerId) -> bool {
+    pub fn is_closed(&self, streamer: StreamerId) -> bool {
         self.closed.contains(&streamer)
     }
 }
@@ -134,6 +134,6 @@
     fn attempt_sent(&mut self, _: Micros, _: &Request, _: StreamerId, _: usize) {}
 
     fn constraints(&self, _: Micros, _: &Request, streamer: StreamerId) -> Constraints {
-        Constraints { allowed: !self.0.borrow().closed(streamer), ..Constraints::NONE }
+        Constraints { allowed: !self.0.borrow().is_closed(streamer), ..Constraints::NONE }
     }
 }
--- a/crates/rollout/src/holder.rs
+++ b/crates/rollout/src/holder.rs
@@ -8,18 +8,18 @@
 
 /// What a director should do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum HolderAction {
     /// Nothing.
     Stay,
     /// Ask for a permit by this command.
-    Ask(Command),
+    RequestPermit(Command),
     /// Leave, by this permit or without one.
     Leave(Option<u64>),
 }
 
 /// One life of a director and its permits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct PermitHolder {
     name: String,
     incarnation: u64,
     /// Told to end: until when it waits for a permit, and by whom.
@@ -31,20 +31,20 @@
     left: bool,
 }
 
-impl Holder {
+impl PermitHolder {
     /// A life that serves.
-    pub fn new(name: &str, incarnation: u64) -> Holder {
+    pub fn new(name: &str, incarnation: u64) -> PermitHolder {
         let name = name.to_owned();
-        Holder { name, incarnation, told: None, asked_ms: 0, returned: 0, left: false }
+        PermitHolder { name, incarnation, told: None, asked_ms: 0, returned: 0, left: false }
     }
 
     /// It was told to end, and may wait until a time (Unix milliseconds) for a permit.
-    pub fn told(&mut self, until_ms: u64, by: &str) {
+    pub fn request_leave(&mut self, until_ms: u64, by: &str) {
         self.told.get_or_insert((until_ms, by.to_owned()));
     }
 
-    /// When [`Holder::look`] wants to be called at the latest, Unix milliseconds.
-    pub fn next_ms(&self) -> Option<u64> {
+    /// When [`PermitHolder::poll`] wants to be called at the latest, Unix milliseconds.
+    pub fn next_poll_ms(&self) -> Option<u64> {
         let told = self.told.as_ref().filter(|_| !self.left);
         told.map(|(until, _)| self.asked_ms.saturating_add(AGAIN_MS).min(*until))
     }
@@ -55,29 +55,29 @@
         (permit.incarnation == self.incarnation && permit.number > self.returned).then_some(permit.number)
     }
 
-    /// What it should do by what is agreed. [`Step::Leave`] comes once.
-    pub fn look(&mut self, now_ms: u64, state: &Rollout) -> Step {
+    /// What it should do by what is agreed. [`HolderAction::Leave`] comes once.
+    pub fn poll(&mut self, now_ms: u64, state: &Rollout) -> HolderAction {
         if self.left {
-            return Step::Stay;
+            return HolderAction::Stay;
         }
         if let Some(number) = self.permit(state) {
             self.left = true;
-            return Step::Leave(Some(number));
+            return HolderAction::Leave(Some(number));
         }
-        let Some((until, by)) = &self.told else { return Step::Stay };
+        let Some((until, by)) = &self.told else { return HolderAction::Stay };
         if *until <= now_ms {
             self.left = true;
-            return Step::Leave(None);
+            return HolderAction::Leave(None);
         }
         if self.asked_ms.saturating_add(AGAIN_MS) > now_ms {
-            return Step::Stay;
+            return HolderAction::Stay;
         }
         self.asked_ms = now_ms;
-        Step::Ask(Command::Ask { name: self.name.clone(), by: by.clone(), now_ms })
+        HolderAction::RequestPermit(Command::Ask { name: self.name.clone(), by: by.clone(), now_ms })
     }
 
     /// It stays after all, where it has a permit and has not left by it.
-    pub fn stays(&mut self, state: &Rollout) -> Option<Command> {
+    pub fn return_permit(&mut self, state: &Rollout) -> Option<Command> {
         let number = self.permit(state).filter(|_| !self.left)?;
         self.returned = number;
         self.told = None;
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -6,16 +6,16 @@
 //! (Cochran, Biometrics 10, 1954), with its standard error from shares drawn a little towards the middle
 //! (Agresti, Coull, The American Statistician 52, 1998). It is looked at when the watch is over, and again
 //! after each further watch, five times at most: looking all the time would pass by luck in the end what does
-//! harm. A wave passes at a look that rules out a loss of [`LOSS`] (one-sided, 95% over all five looks, by
-//! Bonferroni); it halts at a look, or in between by a bound that stands looking all the time, where the loss
-//! is more than chance gives, and after the fifth look in any case.
+//! harm. A wave passes at a look that rules out a loss of [`NON_INFERIORITY_MARGIN`] (one-sided, 95% over all
+//! five looks, by Bonferroni); it halts at a look, or in between by a bound that stands looking all the time,
+//! where the loss is more than chance gives, and after the fifth look in any case.
 use crate::release::Release;
 use crate::rollout::Rollout;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The loss that must not be missed: part of all requests.
-pub const LOSS: f64 = 0.05;
+pub const NON_INFERIORITY_MARGIN: f64 = 0.05;
 /// One-sided 99%: five looks together keep 95%.
 const SURE_PASS: f64 = 2.326;
 /// At each of some hundred looks together under 1%.
@@ -66,7 +66,7 @@
 
 /// The judgement of one watch.
 #[derive(Default)]
-pub struct Judge {
+pub struct WaveAnalysis {
     watch: u64,
     /// Looks of this watch so far.
     looks: u64,
@@ -75,10 +75,10 @@
     former: BTreeMap<String, (f64, f64)>,
 }
 
-impl Judge {
+impl WaveAnalysis {
     /// A director's counts came in.
-    pub fn hear(&mut self, now_ms: u64, state: &Rollout, name: &str, health: Health) {
-        let Some(release) = state.release.as_ref().filter(|r| r.watched()) else { return };
+    pub fn record(&mut self, now_ms: u64, state: &Rollout, name: &str, health: Health) {
+        let Some(release) = state.release.as_ref().filter(|r| r.is_watched()) else { return };
         self.begin(release.watches);
         let fresh = Counted { first: health, last: health, at_ms: now_ms };
         let counted = self.counted.entry(name.to_owned()).or_insert(fresh);
@@ -98,7 +98,7 @@
 
     /// What the wave that is watched came to; none: it is watched on.
     pub fn verdict(&mut self, now_ms: u64, state: &Rollout) -> Option<Verdict> {
-        let release = state.release.as_ref().filter(|r| r.watched())?;
+        let release = state.release.as_ref().filter(|r| r.is_watched())?;
         let since = release.watched_since?;
         let watched_ms = now_ms.saturating_sub(since);
         self.begin(release.watches);
@@ -130,8 +130,10 @@
         let longest = over && due == LOOKS;
         if weight <= 0.0 {
             // Nobody to compare with: all are changed, and whoever leads has not seen the waves before.
-            let alone =
-                release.order.iter().all(|n| state.directors.get(n).is_some_and(|d| release.plan.reached(d)));
+            let alone = release
+                .order
+                .iter()
+                .all(|n| state.directors.get(n).is_some_and(|d| release.plan.is_applied_to(d)));
             return match (due > 0 && alone, longest) {
                 (true, _) => Some(Verdict::Passed),
                 (false, true) => Some(Verdict::Halt("no requests to judge it by".into())),
@@ -149,7 +151,7 @@
         if requests >= LEAST && loss > HARM_FROM && loss > sure * error {
             return Some(Verdict::Halt(told()));
         }
-        if over && loss + SURE_PASS * error < LOSS {
+        if over && loss + SURE_PASS * error < NON_INFERIORITY_MARGIN {
             return Some(Verdict::Passed);
         }
         longest.then(|| Verdict::Halt(format!("too few requests to rule out a loss: {}", told())))
--- a/crates/rollout/src/release.rs
+++ b/crates/rollout/src/release.rs
@@ -11,7 +11,7 @@
 
 /// What is to change, and how.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Plan {
+pub struct ReleasePlan {
     /// Its name, for the record. 1 to 16 characters.
     pub name: String,
     /// The program's version after it; empty: it does not change.
@@ -42,7 +42,7 @@
 
 /// A director that was changed, or is being changed.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Changed {
+pub struct ChangedDirector {
     /// The wave that it belongs to, from 0.
     pub wave: usize,
     /// What it ran before: version and settings.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Release {
     /// The plan.
-    pub plan: Plan,
+    pub plan: ReleasePlan,
     /// Where it stands.
     pub phase: Phase,
     /// The wave that is changed or watched, from 0.
@@ -61,7 +61,7 @@
     /// All directors in the order in which they are changed, halls in turn.
     pub order: Vec<String>,
     /// Those that were changed, or are being changed.
-    pub changed: BTreeMap<String, Changed>,
+    pub changed: BTreeMap<String, ChangedDirector>,
     /// Since when all of this wave are changed and serve, Unix milliseconds.
     pub watched_since: Option<u64>,
     /// Counts the waves that were watched, also those begun again: a verdict names what it judged.
@@ -97,7 +97,7 @@
     }
 }
 
-impl Plan {
+impl ReleasePlan {
     /// Whether it can be carried out.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.name.is_empty() || self.name.chars().count() > 16 {
@@ -117,7 +117,7 @@
     }
 
     /// Whether a director runs what this plan brings.
-    pub fn reached(&self, director: &Director) -> bool {
+    pub fn is_applied_to(&self, director: &Director) -> bool {
         (self.version.is_empty() || self.version == director.version)
             && (self.settings.is_empty() || self.settings == director.settings)
     }
@@ -138,19 +138,19 @@
     }
 
     /// Whether anything of it may still move.
-    pub fn open(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         matches!(self.phase, Phase::Forward | Phase::Halted(_) | Phase::Back)
     }
 
     /// Whether its changed directors are watched now.
-    pub fn watched(&self) -> bool {
+    pub fn is_watched(&self) -> bool {
         self.phase == Phase::Forward && self.watched_since.is_some()
     }
 }
 
 impl Rollout {
-    pub(crate) fn release_start(&mut self, plan: Plan, by: &str) -> Reply {
-        if self.release.as_ref().is_some_and(Release::open) {
+    pub(crate) fn release_start(&mut self, plan: ReleasePlan, by: &str) -> Reply {
+        if self.release.as_ref().is_some_and(Release::is_active) {
             return Reply::Refused(Refusal::Release("another release is under way".into()));
         }
         if let Err(why) = plan.check() {
@@ -163,7 +163,7 @@
         let longest = by_hall.values().map(Vec::len).max().unwrap_or(0);
         let nth = |n: usize| by_hall.values().filter_map(move |names| names.get(n)).map(|n| (*n).clone());
         let order: Vec<String> = (0..longest).flat_map(nth).collect();
-        if order.iter().all(|name| self.directors.get(name).is_some_and(|d| plan.reached(d))) {
+        if order.iter().all(|name| self.directors.get(name).is_some_and(|d| plan.is_applied_to(d))) {
             return Reply::Refused(Refusal::Release("all directors run that already".into()));
         }
         self.record(
@@ -186,7 +186,7 @@
     /// A supervisor wants to restart a director for the release that is under way.
     pub(crate) fn release_step(&mut self, name: &str, by: &str) -> Reply {
         let refused = |why: String| Reply::Refused(Refusal::Release(why));
-        let Some(release) = self.release.clone().filter(Release::open) else {
+        let Some(release) = self.release.clone().filter(Release::is_active) else {
             return refused("no release is under way".into());
         };
         let Some(director) = self.directors.get(name).cloned() else {
@@ -199,7 +199,7 @@
         match release.phase {
             Phase::Halted(why) => Reply::Refused(Refusal::Halted(why)),
             Phase::Forward => {
-                if release.plan.reached(&director) {
+                if release.plan.is_applied_to(&director) {
                     return Reply::Done;
                 }
                 let Some(wave) = release.wave_of(name) else {
@@ -211,7 +211,7 @@
                 let reply = self.ask(name, &by);
                 if let (Reply::Permit(_), Some(release)) = (&reply, &mut self.release) {
                     let former = (director.version, director.settings);
-                    release.changed.entry(name.to_owned()).or_insert(Changed { wave, former });
+                    release.changed.entry(name.to_owned()).or_insert(ChangedDirector { wave, former });
                 }
                 reply
             }
@@ -230,7 +230,7 @@
     /// The leader's verdict on a watch.
     pub(crate) fn release_passed(&mut self, watch: u64) {
         let Some(release) = &mut self.release else { return };
-        if !release.watched() || release.watches != watch {
+        if !release.is_watched() || release.watches != watch {
             return; // of a watch that is over
         }
         let (wave, last) = (release.wave, release.wave + 1 >= release.plan.waves.len());
@@ -267,7 +267,7 @@
     }
 
     pub(crate) fn release_back(&mut self, by: &str) -> Reply {
-        let Some(release) = self.release.as_mut().filter(|r| r.open() || r.phase == Phase::Done) else {
+        let Some(release) = self.release.as_mut().filter(|r| r.is_active() || r.phase == Phase::Done) else {
             return Reply::Refused(Refusal::Release("there is no release to take back".into()));
         };
         release.phase = Phase::Back;
@@ -292,14 +292,15 @@
                     return self.release_halt(why);
                 }
                 let members = release.order.iter().take(release.until(release.wave));
-                let ready = members.clone().all(|name| serves(name).is_some_and(|d| release.plan.reached(d)));
+                let ready =
+                    members.clone().all(|name| serves(name).is_some_and(|d| release.plan.is_applied_to(d)));
                 if let Some(release) = self.release.as_mut().filter(|r| ready != r.watched_since.is_some()) {
                     release.watched_since = ready.then_some(self.now_ms);
                     release.watches += u64::from(ready);
                 }
             }
             Phase::Back => {
-                let back = |(name, c): &(&String, &Changed)| {
+                let back = |(name, c): &(&String, &ChangedDirector)| {
                     serves(name).is_some_and(|d| (&d.version, &d.settings) == (&c.former.0, &c.former.1))
                 };
                 let back: Vec<String> = release.changed.iter().filter(back).map(|(n, _)| n.clone()).collect();
@@ -336,9 +337,9 @@
         if let Some(why) = &self.halted {
             return Some(why.clone());
         }
-        let wrong = |(name, _): &(&String, &Changed)| {
+        let wrong = |(name, _): &(&String, &ChangedDirector)| {
             self.directors.get(*name).is_some_and(|d| {
-                d.standing == Standing::Serving && d.permit.is_none() && !release.plan.reached(d)
+                d.standing == Standing::Serving && d.permit.is_none() && !release.plan.is_applied_to(d)
             })
         };
         let (name, _) = release.changed.iter().find(wrong)?;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,7 +1,7 @@
 //! The agreed state: who is known, who holds a permit, what is halted, and what was done.
 use crate::command::{Command, Refusal, Reply, Standing};
 use crate::release::Release;
-use crate::settings::OutSettings;
+use crate::settings::DisruptionBudgets;
 use crate::streamers::Streamer;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -49,14 +49,14 @@
 
 impl Director {
     /// Whether it counts against the budgets.
-    pub fn out(&self) -> bool {
+    pub fn is_out(&self) -> bool {
         self.permit.is_some() || self.standing == Standing::Absent
     }
 }
 
 /// A line of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Audit {
+pub struct AuditEntry {
     /// When, Unix milliseconds.
     pub at_ms: u64,
     /// Whom it is about; empty: all.
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Rollout {
     /// What may be out.
-    pub budgets: OutSettings,
+    pub budgets: DisruptionBudgets,
     /// All directors that were ever seen in service and not forgotten.
     pub directors: BTreeMap<String, Director>,
     /// All streamers of the list.
@@ -91,14 +91,14 @@
     /// Lines of the record so far.
     pub lines: u64,
     /// The last of them.
-    pub audit: VecDeque<Audit>,
+    pub audit: VecDeque<AuditEntry>,
 }
 
 impl Rollout {
     /// Takes a command as bytes; one that can't be read changes nothing.
     pub fn apply(&mut self, command: &[u8]) -> Reply {
         match postcard::from_bytes(command) {
-            Ok(command) => self.take(command),
+            Ok(command) => self.apply_command(command),
             Err(_) => Reply::Unreadable,
         }
     }
@@ -114,7 +114,7 @@
     }
 
     /// Takes a command.
-    pub fn take(&mut self, command: Command) -> Reply {
+    pub fn apply_command(&mut self, command: Command) -> Reply {
         match command {
             Command::Time { now_ms } => {
                 self.time(now_ms);
@@ -210,16 +210,16 @@
     }
 
     /// Names of those that are out, of a hall or of the fleet.
-    pub fn out(&self, hall: Option<&str>) -> Vec<String> {
-        let counts = |d: &Director| d.out() && hall.is_none_or(|hall| d.hall == hall);
+    pub fn directors_out(&self, hall: Option<&str>) -> Vec<String> {
+        let counts = |d: &Director| d.is_out() && hall.is_none_or(|hall| d.hall == hall);
         self.directors.iter().filter(|(_, d)| counts(d)).map(|(name, _)| name.clone()).collect()
     }
 
     /// When something comes to pass by time alone, Unix milliseconds.
-    pub fn next_ms(&self) -> Option<u64> {
+    pub fn next_deadline_ms(&self) -> Option<u64> {
         let permits = self.directors.values().filter_map(|d| d.permit.as_ref()).filter(|p| !p.overdue);
         let late = permits.map(|p| p.at_ms.saturating_add(self.budgets.longest_ms)).min();
-        late.into_iter().chain(self.streamers_next_ms()).min()
+        late.into_iter().chain(self.next_streamer_deadline_ms()).min()
     }
 
     fn time(&mut self, now_ms: u64) {
@@ -295,7 +295,7 @@
                 let permit = Permit { number, incarnation, at_ms, by, overdue };
                 director.permit = Some(permit.clone());
                 director.refused = None;
-                let out = self.out(None).len();
+                let out = self.directors_out(None).len();
                 self.record(name, format!("permit {number} for {}; {out} out", permit.by));
                 Reply::Permit(permit)
             }
@@ -324,11 +324,11 @@
         if director.standing == Standing::Absent {
             return Err(Refusal::Absent);
         }
-        let (out, budgets) = (self.out(None), &self.budgets);
+        let (out, budgets) = (self.directors_out(None), &self.budgets);
         if out.len() >= budgets.directors as usize {
             return Err(Refusal::Fleet(out, budgets.directors));
         }
-        let of_hall = self.out(Some(&director.hall));
+        let of_hall = self.directors_out(Some(&director.hall));
         if of_hall.len() >= budgets.directors_of_hall as usize {
             return Err(Refusal::Hall(director.hall.clone(), of_hall, budgets.directors_of_hall));
         }
@@ -357,7 +357,7 @@
 
     pub(crate) fn record(&mut self, name: &str, what: String) {
         self.lines += 1;
-        self.audit.push_back(Audit { at_ms: self.now_ms, name: name.to_owned(), what });
+        self.audit.push_back(AuditEntry { at_ms: self.now_ms, name: name.to_owned(), what });
         while self.audit.len() > AUDIT_KEPT {
             self.audit.pop_front();
         }
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -5,7 +5,7 @@
 /// the next leader follow, and the log's history tells.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct OutSettings {
+pub struct DisruptionBudgets {
     /// Directors out at once in the fleet, by permit or lost. 0 to 1,000.
     pub directors: u32,
     /// Directors out at once in one hall. 0 to 1,000.
@@ -29,9 +29,9 @@
     pub ask_ms: u64,
 }
 
-impl Default for OutSettings {
+impl Default for DisruptionBudgets {
     fn default() -> Self {
-        OutSettings {
+        DisruptionBudgets {
             directors: 1,
             directors_of_hall: 1,
             step_ms: 2_000,
@@ -57,7 +57,7 @@
     most: u64,
 }
 
-impl OutSettings {
+impl DisruptionBudgets {
     /// Whether all values can be used.
     pub fn check(&self) -> Result<(), SettingError> {
         let all = [
--- a/crates/rollout/src/streamers.rs
+++ b/crates/rollout/src/streamers.rs
@@ -1,6 +1,6 @@
 //! The streamers' part of the agreed state: which are known, which are drained by which permit, and the way
 //! back. A drained one is free again only when it was opened, is in service on the list and past its warm-up.
-use crate::command::{Refusal, Reply, Scope, StreamerSeen};
+use crate::command::{DrainScope, ListedStreamer, Refusal, Reply};
 use crate::rollout::{Rollout, clipped};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -44,12 +44,12 @@
 
 impl Streamer {
     /// Whether it counts against the budgets.
-    pub fn out(&self) -> bool {
+    pub fn is_out(&self) -> bool {
         self.permit.is_some() || !self.up
     }
 
     /// Whether no new session may go there.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.permit.as_ref().is_some_and(|p| p.opened_ms.is_none())
     }
 }
@@ -57,19 +57,19 @@
 impl Rollout {
     /// Names of the streamers that are out.
     pub fn streamers_out(&self) -> BTreeSet<String> {
-        self.streamers.iter().filter(|(_, s)| s.out()).map(|(name, _)| name.clone()).collect()
+        self.streamers.iter().filter(|(_, s)| s.is_out()).map(|(name, _)| name.clone()).collect()
     }
 
-    fn members(&self, scope: &Scope) -> Vec<String> {
+    fn members(&self, scope: &DrainScope) -> Vec<String> {
         let fits = |name: &String, s: &Streamer| match scope {
-            Scope::Streamer(one) => name == one,
-            Scope::Rack(rack) => s.rack == *rack,
-            Scope::Hall(hall) => s.hall == *hall,
+            DrainScope::Streamer(one) => name == one,
+            DrainScope::Rack(rack) => s.rack == *rack,
+            DrainScope::Hall(hall) => s.hall == *hall,
         };
         self.streamers.iter().filter(|(name, s)| fits(name, s)).map(|(name, _)| name.clone()).collect()
     }
 
-    pub(crate) fn streamers_seen(&mut self, seen: Vec<StreamerSeen>, warm_up_ms: u64) {
+    pub(crate) fn streamers_seen(&mut self, seen: Vec<ListedStreamer>, warm_up_ms: u64) {
         self.warm_up_ms = warm_up_ms;
         for one in seen {
             let known = self.streamers.get(&one.name);
@@ -87,11 +87,11 @@
         }
     }
 
-    pub(crate) fn drain(&mut self, scope: &Scope, by: &str) -> Reply {
+    pub(crate) fn drain(&mut self, scope: &DrainScope, by: &str) -> Reply {
         let members = self.members(scope);
         let fresh: Vec<String> = members
             .iter()
-            .filter(|name| self.streamers.get(*name).is_some_and(|s| !s.closed()))
+            .filter(|name| self.streamers.get(*name).is_some_and(|s| !s.is_closed()))
             .cloned()
             .collect();
         let held = |name: &String| self.streamers.get(name)?.permit.as_ref().map(|p| p.number);
@@ -161,10 +161,10 @@
         Ok(())
     }
 
-    pub(crate) fn open(&mut self, scope: &Scope, by: &str) {
+    pub(crate) fn open(&mut self, scope: &DrainScope, by: &str) {
         let now = self.now_ms;
         for name in self.members(scope) {
-            let Some(streamer) = self.streamers.get_mut(&name).filter(|s| s.closed()) else { continue };
+            let Some(streamer) = self.streamers.get_mut(&name).filter(|s| s.is_closed()) else { continue };
             streamer.opened_ms = now;
             if let Some(permit) = &mut streamer.permit {
                 permit.opened_ms = Some(now);
@@ -202,7 +202,7 @@
     }
 
     /// When something comes to pass for a streamer by time alone, Unix milliseconds.
-    pub(crate) fn streamers_next_ms(&self) -> Option<u64> {
+    pub(crate) fn next_streamer_deadline_ms(&self) -> Option<u64> {
         let of = |s: &Streamer| {
             let permit = s.permit.as_ref()?;
             let warm = permit.opened_ms.filter(|_| s.up).map(|at| at.saturating_add(self.warm_up_ms));
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -1,8 +1,8 @@
 //! What the leader does for the agreed state: compares it with the members that it sees, and says which
 //! commands the log still lacks. Keeps how long each has served; a new leader begins anew, which only delays.
-use crate::command::{Command, Standing, StreamerSeen};
+use crate::command::{Command, ListedStreamer, Standing};
 use crate::rollout::Rollout;
-use crate::settings::OutSettings;
+use crate::settings::DisruptionBudgets;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A director is proven back after so long in service: its first second of set-ups.
@@ -26,9 +26,9 @@
     /// Its life.
     pub incarnation: u64,
     /// It is in the fleet and serves.
-    pub serves: bool,
+    pub serving: bool,
     /// It is in the fleet, whatever it does.
-    pub is_in: bool,
+    pub in_fleet: bool,
     /// The program's version that it runs.
     pub version: String,
     /// Digest of its settings, hexadecimal.
@@ -38,13 +38,13 @@
 #[derive(Clone, Copy)]
 struct Seen {
     incarnation: u64,
-    serves: bool,
+    serving: bool,
     since_ms: u64,
 }
 
 /// The leader's watch.
 #[derive(Default)]
-pub struct Watch {
+pub struct Reconciler {
     seen: BTreeMap<String, Seen>,
     proposed: BTreeMap<String, (Standing, u64, u64)>,
     budgets_at: u64,
@@ -52,19 +52,19 @@
     streamers_at: u64,
 }
 
-impl Watch {
+impl Reconciler {
     /// A watch that has just begun to lead.
-    pub fn new() -> Watch {
-        Watch::default()
+    pub fn new() -> Reconciler {
+        Reconciler::default()
     }
 
     /// The commands that the agreed state lacks. `sure`: the view is worth believing; a leader that hears
     /// few of the others calls nobody absent.
-    pub fn look(
+    pub fn reconcile_directors(
         &mut self,
         now_ms: u64,
         state: &Rollout,
-        budgets: &OutSettings,
+        budgets: &DisruptionBudgets,
         members: &[Member],
         sure: bool,
     ) -> Vec<Command> {
@@ -73,7 +73,7 @@
             self.budgets_at = now_ms;
             commands.push(Command::Budgets(budgets.clone()));
         }
-        let due = state.next_ms().is_some_and(|at| at <= now_ms);
+        let due = state.next_deadline_ms().is_some_and(|at| at <= now_ms);
         if due && self.time_at.saturating_add(AGAIN_MS) <= now_ms {
             self.time_at = now_ms;
             commands.push(Command::Time { now_ms });
@@ -84,8 +84,8 @@
             name: name.clone(),
             hall: known.hall.clone(),
             incarnation: 0,
-            serves: false,
-            is_in: false,
+            serving: false,
+            in_fleet: false,
             version: String::new(),
             settings: String::new(),
         });
@@ -100,24 +100,24 @@
     }
 
     /// The command that the agreed state lacks of streamers, by the leader's own list.
-    pub fn streamers(
+    pub fn reconcile_streamers(
         &mut self,
         now_ms: u64,
         state: &Rollout,
-        seen: Vec<StreamerSeen>,
+        seen: Vec<ListedStreamer>,
         warm_up_ms: u64,
     ) -> Option<Command> {
         if self.streamers_at.saturating_add(AGAIN_MS) > now_ms {
             return None;
         }
-        let differs = |s: &StreamerSeen| match state.streamers.get(&s.name) {
+        let differs = |s: &ListedStreamer| match state.streamers.get(&s.name) {
             Some(known) if s.gone => known.permit.is_none() || known.up,
             Some(known) => {
                 (known.hall.as_str(), known.rack, known.kb, known.up) != (&s.hall, s.rack, s.kb, s.up)
             }
             None => !s.gone,
         };
-        let seen: Vec<StreamerSeen> = seen.into_iter().filter(differs).take(STREAMERS_MOST).collect();
+        let seen: Vec<ListedStreamer> = seen.into_iter().filter(differs).take(STREAMERS_MOST).collect();
         if seen.is_empty() && (state.warm_up_ms == warm_up_ms || state.streamers.is_empty()) {
             return None;
         }
@@ -126,15 +126,15 @@
     }
 
     fn member(&mut self, now_ms: u64, state: &Rollout, member: Member, sure: bool) -> Option<Command> {
-        let Member { name, hall, incarnation, serves, is_in, version, settings } = member;
-        let fresh = Seen { incarnation, serves, since_ms: now_ms };
+        let Member { name, hall, incarnation, serving, in_fleet, version, settings } = member;
+        let fresh = Seen { incarnation, serving, since_ms: now_ms };
         let seen = self.seen.entry(name.clone()).or_insert(fresh);
-        if (seen.incarnation, seen.serves) != (incarnation, serves) {
+        if (seen.incarnation, seen.serving) != (incarnation, serving) {
             *seen = fresh;
         }
         let for_ms = now_ms.saturating_sub(seen.since_ms);
         let known = state.directors.get(&name);
-        let standing = match (serves, is_in) {
+        let standing = match (serving, in_fleet) {
             (true, _) if for_ms >= PROVEN_MS => Standing::Serving,
             // A later life that starts, or one that says that it leaves.
             (false, true) => Standing::Absent,
@@ -146,7 +146,7 @@
             return None;
         }
         // What one that is gone ran last stays known.
-        let (version, settings) = match (known, incarnation > 0 && is_in) {
+        let (version, settings) = match (known, incarnation > 0 && in_fleet) {
             (Some(d), false) => (d.version.clone(), d.settings.clone()),
             _ => (version, settings),
         };
--- a/crates/rollout/tests/budgets.rs
+++ b/crates/rollout/tests/budgets.rs
@@ -1,9 +1,14 @@
 //! What is given and refused, and what frees a permit.
-use stonewharf_rollout::{Command, Member, OutSettings, Refusal, Reply, Rollout, Standing, Watch};
+use stonewharf_rollout::{Command, DisruptionBudgets, Member, Reconciler, Refusal, Reply, Rollout, Standing};
 
 fn fleet() -> Rollout {
-    let budgets =
-        OutSettings { directors: 2, step_ms: 1_000, longest_ms: 60_000, ask_ms: 0, ..OutSettings::default() };
+    let budgets = DisruptionBudgets {
+        directors: 2,
+        step_ms: 1_000,
+        longest_ms: 60_000,
+        ask_ms: 0,
+        ..DisruptionBudgets::default()
+    };
     let mut rollout = Rollout { budgets, ..Rollout::default() };
     for (i, hall) in ["a", "a", "b", "b", "c"].into_iter().enumerate() {
         seen(&mut rollout, &format!("d{i}"), hall, 1, Standing::Serving, 10_000);
@@ -13,7 +18,7 @@
 
 fn seen(rollout: &mut Rollout, name: &str, hall: &str, incarnation: u64, standing: Standing, now_ms: u64) {
     let (name, hall) = (name.to_owned(), hall.to_owned());
-    rollout.take(Command::Seen {
+    rollout.apply_command(Command::Seen {
         name,
         hall,
         incarnation,
@@ -25,7 +30,7 @@
 }
 
 fn ask(rollout: &mut Rollout, name: &str, now_ms: u64) -> Reply {
-    rollout.take(Command::Ask { name: name.into(), by: "SIGTERM".into(), now_ms })
+    rollout.apply_command(Command::Ask { name: name.into(), by: "SIGTERM".into(), now_ms })
 }
 
 fn number(reply: Reply) -> u64 {
@@ -58,15 +63,15 @@
     // Its former life, seen late, proves nothing; neither does its going.
     seen(&mut rollout, "d0", "a", 1, Standing::Serving, 23_000);
     seen(&mut rollout, "d0", "a", 1, Standing::Absent, 24_000);
-    assert_eq!(rollout.out(None), ["d0", "d4"]);
+    assert_eq!(rollout.directors_out(None), ["d0", "d4"]);
     seen(&mut rollout, "d0", "a", 2, Standing::Serving, 25_000);
-    assert_eq!(rollout.out(None), ["d4"]);
+    assert_eq!(rollout.directors_out(None), ["d4"]);
     assert_eq!(number(ask(&mut rollout, "d2", 26_000)), 2);
     // One that is gone for good: a person says so.
-    rollout.take(Command::Forget { name: "d4".into(), by: "ops".into() });
-    assert_eq!(rollout.out(None), ["d2"]);
+    rollout.apply_command(Command::Forget { name: "d4".into(), by: "ops".into() });
+    assert_eq!(rollout.directors_out(None), ["d2"]);
     // Nobody can forget one that serves.
-    rollout.take(Command::Forget { name: "d1".into(), by: "ops".into() });
+    rollout.apply_command(Command::Forget { name: "d1".into(), by: "ops".into() });
     assert!(rollout.directors.contains_key("d1"));
 }
 
@@ -74,12 +79,12 @@
 fn an_overdue_permit_halts_all_and_stays_out_until_a_person_resumes() {
     let mut rollout = fleet();
     assert_eq!(number(ask(&mut rollout, "d0", 20_000)), 1);
-    assert_eq!(rollout.next_ms(), Some(80_000));
-    rollout.take(Command::Time { now_ms: 80_000 });
+    assert_eq!(rollout.next_deadline_ms(), Some(80_000));
+    rollout.apply_command(Command::Time { now_ms: 80_000 });
     assert_eq!(rollout.halted.as_deref(), Some("permit 1 of d0 is overdue"));
     assert!(matches!(ask(&mut rollout, "d2", 81_000), Reply::Refused(Refusal::Halted(_))));
-    rollout.take(Command::Resume { by: "ops".into() });
-    assert_eq!(rollout.out(None), ["d0"], "it counts still");
+    rollout.apply_command(Command::Resume { by: "ops".into() });
+    assert_eq!(rollout.directors_out(None), ["d0"], "it counts still");
     assert_eq!(number(ask(&mut rollout, "d2", 82_000)), 2);
     assert!(rollout.audit.iter().any(|a| a.what == "halted: permit 1 of d0 is overdue"));
     let again = Rollout::restore(&rollout.snapshot()).expect("own bytes");
@@ -90,10 +95,10 @@
 fn only_the_life_that_holds_a_permit_gives_it_back() {
     let mut rollout = fleet();
     assert_eq!(number(ask(&mut rollout, "d0", 20_000)), 1);
-    rollout.take(Command::Return { name: "d0".into(), number: 7 });
-    assert_eq!(rollout.out(None), ["d0"]);
-    rollout.take(Command::Return { name: "d0".into(), number: 1 });
-    assert!(rollout.out(None).is_empty());
+    rollout.apply_command(Command::Return { name: "d0".into(), number: 7 });
+    assert_eq!(rollout.directors_out(None), ["d0"]);
+    rollout.apply_command(Command::Return { name: "d0".into(), number: 1 });
+    assert!(rollout.directors_out(None).is_empty());
     assert_eq!(number(ask(&mut rollout, "d1", 22_000)), 2, "numbers only grow");
     assert_eq!(rollout.apply(&[250, 3]), Reply::Unreadable);
 }
@@ -102,34 +107,37 @@
 fn the_leader_tells_what_the_log_lacks_once_and_believes_a_return_after_a_second() {
     let mut rollout = fleet();
     let budgets = rollout.budgets.clone();
-    let mut watch = Watch::new();
-    let member = |i: usize, incarnation, serves, is_in| Member {
+    let mut watch = Reconciler::new();
+    let member = |i: usize, incarnation, serving, in_fleet| Member {
         name: format!("d{i}"),
         hall: ["a", "a", "b", "b", "c"][i].into(),
         incarnation,
-        serves,
-        is_in,
+        serving,
+        in_fleet,
         version: String::new(),
         settings: String::new(),
     };
     let mut view: Vec<Member> = (0..5).map(|i| member(i, 1, true, true)).collect();
-    assert!(watch.look(20_000, &rollout, &budgets, &view, true).is_empty());
+    assert!(watch.reconcile_directors(20_000, &rollout, &budgets, &view, true).is_empty());
     view[3] = member(3, 1, false, false);
-    assert!(watch.look(20_050, &rollout, &budgets, &view, true).is_empty(), "not yet");
-    assert!(watch.look(20_400, &rollout, &budgets, &view, false).is_empty(), "not on a view like that");
-    let told = watch.look(20_400, &rollout, &budgets, &view, true);
+    assert!(watch.reconcile_directors(20_050, &rollout, &budgets, &view, true).is_empty(), "not yet");
+    assert!(
+        watch.reconcile_directors(20_400, &rollout, &budgets, &view, false).is_empty(),
+        "not on a view like that"
+    );
+    let told = watch.reconcile_directors(20_400, &rollout, &budgets, &view, true);
     assert_eq!(told.len(), 1);
-    assert!(watch.look(20_450, &rollout, &budgets, &view, true).is_empty(), "once");
-    told.into_iter().for_each(|c| drop(rollout.take(c)));
-    assert_eq!(rollout.out(None), ["d3"]);
+    assert!(watch.reconcile_directors(20_450, &rollout, &budgets, &view, true).is_empty(), "once");
+    told.into_iter().for_each(|c| drop(rollout.apply_command(c)));
+    assert_eq!(rollout.directors_out(None), ["d3"]);
     view[3] = member(3, 2, true, true);
-    assert!(watch.look(21_000, &rollout, &budgets, &view, true).is_empty());
-    let told = watch.look(22_000, &rollout, &budgets, &view, true);
-    told.into_iter().for_each(|c| drop(rollout.take(c)));
-    assert!(rollout.out(None).is_empty());
+    assert!(watch.reconcile_directors(21_000, &rollout, &budgets, &view, true).is_empty());
+    let told = watch.reconcile_directors(22_000, &rollout, &budgets, &view, true);
+    told.into_iter().for_each(|c| drop(rollout.apply_command(c)));
+    assert!(rollout.directors_out(None).is_empty());
     // Other budgets in the leader's file are put in force.
-    let other = OutSettings { directors: 1, ..budgets };
-    let told = watch.look(23_000, &rollout, &other, &view, true);
-    told.into_iter().for_each(|c| drop(rollout.take(c)));
+    let other = DisruptionBudgets { directors: 1, ..budgets };
+    let told = watch.reconcile_directors(23_000, &rollout, &other, &view, true);
+    told.into_iter().for_each(|c| drop(rollout.apply_command(c)));
     assert_eq!(rollout.budgets.directors, 1);
 }
--- a/crates/rollout/tests/permits.rs
+++ b/crates/rollout/tests/permits.rs
@@ -2,7 +2,7 @@
 //! leader, over the real state: never more out by permit than the budget, and none given beside what is
 //! known to be out (S1). Each planted error is found.
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use stonewharf_rollout::{Command, Holder, OutSettings, Reply, Rollout, Standing, Step};
+use stonewharf_rollout::{Command, DisruptionBudgets, HolderAction, PermitHolder, Reply, Rollout, Standing};
 
 const DIRECTORS: usize = 3;
 const BUDGET: usize = 1;
@@ -32,7 +32,7 @@
     by_permit: bool,
     /// What it has heard of what is agreed, which may be old by now.
     heard: Option<Vec<u8>>,
-    holder: Holder,
+    holder: PermitHolder,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -141,18 +141,18 @@
 
     fn init_states(&self) -> Vec<State> {
         let budget = BUDGET as u32;
-        let budgets = OutSettings {
+        let budgets = DisruptionBudgets {
             directors: budget,
             directors_of_hall: budget,
             step_ms: 0,
             longest_ms: 1_000,
             ask_ms: 0,
-            ..OutSettings::default()
+            ..DisruptionBudgets::default()
         };
         let mut rollout = Rollout { budgets, ..Rollout::default() };
         for i in 0..DIRECTORS {
             let (hall, standing) = ("a".to_owned(), Standing::Serving);
-            rollout.take(Command::Seen {
+            rollout.apply_command(Command::Seen {
                 name: name(i),
                 hall,
                 incarnation: 1,
@@ -163,7 +163,7 @@
             });
         }
         let process = |i: usize| {
-            let holder = Holder::new(&name(i), 1);
+            let holder = PermitHolder::new(&name(i), 1);
             Process { life: 1, runs: true, by_permit: false, heard: None, holder }
         };
         vec![State {
@@ -219,7 +219,7 @@
             Action::Ask(i) => {
                 state.asks -= 1;
                 let by = "test".to_owned();
-                state.under_way.push(Command::Ask { name: name(i), by, now_ms: 1 }.write());
+                state.under_way.push(Command::Ask { name: name(i), by, now_ms: 1 }.encode());
             }
             Action::Agree(k) => {
                 let command = state.under_way.remove(k);
@@ -229,16 +229,16 @@
             Action::Leave(i) => {
                 let process = &mut state.processes[i];
                 let heard = Rollout::restore(process.heard.as_deref()?).expect("own bytes");
-                let Step::Leave(Some(_)) = process.holder.look(1, &heard) else { return None };
+                let HolderAction::Leave(Some(_)) = process.holder.poll(1, &heard) else { return None };
                 (process.runs, process.by_permit, process.heard) = (false, true, None);
             }
             Action::Stay(i) => {
                 let process = &mut state.processes[i];
                 let heard = Rollout::restore(process.heard.as_deref()?).expect("own bytes");
                 let life = process.life;
-                state.under_way.push(process.holder.stays(&heard)?.write());
+                state.under_way.push(process.holder.return_permit(&heard)?.encode());
                 if self.0 == Plant::ActOnReturned {
-                    process.holder = Holder::new(&name(i), life);
+                    process.holder = PermitHolder::new(&name(i), life);
                 }
             }
             Action::Crash(i) => {
@@ -250,7 +250,7 @@
                 state.restarts -= 1;
                 let process = &mut state.processes[i];
                 (process.life, process.runs, process.by_permit) = (process.life + 1, true, false);
-                process.holder = Holder::new(&name(i), process.life);
+                process.holder = PermitHolder::new(&name(i), process.life);
             }
             Action::Look(i) => {
                 state.looks -= 1;
@@ -266,11 +266,11 @@
                     settings: String::new(),
                     now_ms: 1,
                 };
-                state.under_way.push(seen.write());
+                state.under_way.push(seen.encode());
             }
             Action::Expire => {
                 state.expiries -= 1;
-                state.under_way.push(Command::Time { now_ms: 5_000 }.write());
+                state.under_way.push(Command::Time { now_ms: 5_000 }.encode());
             }
             Action::NewLeader => {
                 state.leaders -= 1;
@@ -294,7 +294,7 @@
             Property::always("none given beside what is known to be out", |_, s: &State| !s.broken),
             Property::sometimes("one leaves by permit and is back", |_, state: &State| {
                 let agreed = read(state);
-                agreed.last > 0 && agreed.directors.values().all(|d| !d.out() && agreed.halted.is_none())
+                agreed.last > 0 && agreed.directors.values().all(|d| !d.is_out() && agreed.halted.is_none())
             }),
             Property::sometimes("a second permit is given after the first is free", |_, state: &State| {
                 read(state).last == 2
--- a/crates/rollout/tests/releases.rs
+++ b/crates/rollout/tests/releases.rs
@@ -2,7 +2,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use stonewharf_rollout::{
-    Command, Health, Judge, LOSS, OutSettings, Phase, Plan, Refusal, Reply, Rollout, Standing, Verdict,
+    Command, DisruptionBudgets, Health, NON_INFERIORITY_MARGIN, Phase, Refusal, ReleasePlan, Reply, Rollout,
+    Standing, Verdict, WaveAnalysis,
 };
 
 const DIRECTORS: usize = 10;
@@ -20,22 +21,22 @@
 
 impl Fleet {
     fn new() -> Fleet {
-        let budgets = OutSettings {
+        let budgets = DisruptionBudgets {
             directors: 3,
             directors_of_hall: 2,
             step_ms: 0,
             longest_ms: 60_000,
-            ..OutSettings::default()
+            ..DisruptionBudgets::default()
         };
         let state = Rollout { budgets, ..Rollout::default() };
         let mut fleet = Fleet { state, now_ms: 10_000, lives: vec![1; DIRECTORS] };
         (0..DIRECTORS).for_each(|i| fleet.seen(i, Standing::Serving, "1"));
-        let plan = Plan {
+        let plan = ReleasePlan {
             name: "two".into(),
             version: "2".into(),
             waves: vec![1, 40, 100],
             watch_ms: 10_000,
-            ..Plan::default()
+            ..ReleasePlan::default()
         };
         assert_eq!(fleet.take(Command::ReleaseStart { plan, by: "ops".into(), now_ms: 10_000 }), Reply::Done);
         fleet
@@ -44,7 +45,7 @@
     fn take(&mut self, command: Command) -> Reply {
         // Any director may lead from here on: what it knows is what is agreed.
         self.state = Rollout::restore(&self.state.snapshot()).expect("own bytes");
-        self.state.take(command)
+        self.state.apply_command(command)
     }
 
     fn seen(&mut self, i: usize, standing: Standing, version: &str) {
@@ -84,7 +85,7 @@
     }
 
     fn watched(&self) -> bool {
-        self.state.release.as_ref().expect("there").watched()
+        self.state.release.as_ref().expect("there").is_watched()
     }
 }
 
@@ -188,17 +189,22 @@
 #[test]
 fn plans_that_make_no_sense_and_a_second_release_are_refused() {
     let mut fleet = Fleet::new();
-    let start = |plan: Plan| Command::ReleaseStart { plan, by: "ops".into(), now_ms: 1 };
-    let good =
-        Plan { name: "x".into(), version: "3".into(), waves: vec![100], watch_ms: 1_000, ..Plan::default() };
+    let start = |plan: ReleasePlan| Command::ReleaseStart { plan, by: "ops".into(), now_ms: 1 };
+    let good = ReleasePlan {
+        name: "x".into(),
+        version: "3".into(),
+        waves: vec![100],
+        watch_ms: 1_000,
+        ..ReleasePlan::default()
+    };
     assert!(why(fleet.take(start(good.clone()))).contains("another release"));
     fleet.state.release = None;
     for (bad, told) in [
-        (Plan { waves: vec![50, 20, 100], ..good.clone() }, "rising"),
-        (Plan { waves: vec![50], ..good.clone() }, "the last 100"),
-        (Plan { version: String::new(), ..good.clone() }, "nothing changes"),
-        (Plan { version: "1".into(), ..good.clone() }, "run that already"),
-        (Plan { watch_ms: 1, ..good.clone() }, "watch"),
+        (ReleasePlan { waves: vec![50, 20, 100], ..good.clone() }, "rising"),
+        (ReleasePlan { waves: vec![50], ..good.clone() }, "the last 100"),
+        (ReleasePlan { version: String::new(), ..good.clone() }, "nothing changes"),
+        (ReleasePlan { version: "1".into(), ..good.clone() }, "run that already"),
+        (ReleasePlan { watch_ms: 1, ..good.clone() }, "watch"),
     ] {
         assert!(why(fleet.take(start(bad))).contains(told), "{told}");
     }
@@ -212,7 +218,7 @@
     fleet.restart(0, "2");
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
     let mut counts = [Health::default(); DIRECTORS];
-    let mut judge = Judge::default();
+    let mut judge = WaveAnalysis::default();
     let since = fleet.state.release.as_ref().and_then(|r| r.watched_since).expect("watched");
     for step in 0.. {
         let now = since + 500 * step;
@@ -223,7 +229,7 @@
                 health.taken += 1;
                 if chance < lost { health.refused += 1 } else { health.served += 1 }
             }
-            judge.hear(now, &fleet.state, &name(i), *health);
+            judge.record(now, &fleet.state, &name(i), *health);
         }
         if let Some(verdict) = judge.verdict(now, &fleet.state) {
             return (verdict, (now - since) as f64 / 1e3);
@@ -238,7 +244,7 @@
     for seed in 0..200 {
         let (verdict, _) = judged(seed, 40, 0.08, 0.08);
         halted += usize::from(verdict != Verdict::Passed);
-        let (verdict, _) = judged(1_000 + seed, 40, 0.08, 0.08 + LOSS);
+        let (verdict, _) = judged(1_000 + seed, 40, 0.08, 0.08 + NON_INFERIORITY_MARGIN);
         passed += usize::from(verdict == Verdict::Passed);
     }
     assert!(halted <= 2, "{halted} of 200 good waves halted");
--- a/crates/rollout/tests/streamers.rs
+++ b/crates/rollout/tests/streamers.rs
@@ -4,40 +4,41 @@
     ViewerId, ZoneId,
 };
 use stonewharf_rollout::{
-    Command, Drains, OutSettings, Refusal, Reply, Rollout, Scope, SharedDrains, StreamerSeen, Watch,
+    Command, DisruptionBudgets, DrainScope, Drains, ListedStreamer, Reconciler, Refusal, Reply, Rollout,
+    SharedDrains,
 };
 
-fn seen(k: u32, up: bool) -> StreamerSeen {
+fn seen(k: u32, up: bool) -> ListedStreamer {
     let hall = if k.is_multiple_of(2) { "a" } else { "b" };
-    StreamerSeen { name: format!("s{k}"), hall: hall.into(), rack: k % 3, kb: 1_000, up, gone: false }
+    ListedStreamer { name: format!("s{k}"), hall: hall.into(), rack: k % 3, kb: 1_000, up, gone: false }
 }
 
 /// Six streamers of two halls and three racks; half of the links may be out.
 fn fleet() -> Rollout {
-    let budgets = OutSettings {
+    let budgets = DisruptionBudgets {
         streamers: 3,
         streamers_percent: 50,
         hall_percent: 100,
         rack_percent: 50,
         step_ms: 0,
         streamers_longest_ms: 60_000,
-        ..OutSettings::default()
+        ..DisruptionBudgets::default()
     };
     let mut rollout = Rollout { budgets, ..Rollout::default() };
     told(&mut rollout, (0..6).map(|k| seen(k, true)).collect(), 10_000);
     rollout
 }
 
-fn told(rollout: &mut Rollout, seen: Vec<StreamerSeen>, now_ms: u64) {
-    rollout.take(Command::Streamers { seen, warm_up_ms: 5_000, now_ms });
+fn told(rollout: &mut Rollout, seen: Vec<ListedStreamer>, now_ms: u64) {
+    rollout.apply_command(Command::Streamers { seen, warm_up_ms: 5_000, now_ms });
 }
 
-fn drain(rollout: &mut Rollout, scope: Scope, now_ms: u64) -> Reply {
-    rollout.take(Command::Drain { scope, by: "ops".into(), now_ms })
+fn drain(rollout: &mut Rollout, scope: DrainScope, now_ms: u64) -> Reply {
+    rollout.apply_command(Command::Drain { scope, by: "ops".into(), now_ms })
 }
 
-fn open(rollout: &mut Rollout, scope: Scope, now_ms: u64) {
-    rollout.take(Command::Open { scope, by: "ops".into(), now_ms });
+fn open(rollout: &mut Rollout, scope: DrainScope, now_ms: u64) {
+    rollout.apply_command(Command::Open { scope, by: "ops".into(), now_ms });
 }
 
 fn refused(reply: Reply) -> Refusal {
@@ -48,7 +49,7 @@
 #[test]
 fn a_hall_is_drained_whole_or_not_at_all_and_drains_that_pass_a_share_together_are_refused() {
     let mut rollout = fleet();
-    let one = Scope::Streamer("s1".into());
+    let one = DrainScope::Streamer("s1".into());
     assert_eq!(
         drain(&mut rollout, one.clone(), 20_000),
         Reply::Drained { number: 1, names: vec!["s1".into()] }
@@ -56,19 +57,19 @@
     assert_eq!(drain(&mut rollout, one, 20_000), Reply::Drained { number: 1, names: vec!["s1".into()] });
     // Its rack's other half would pass the rack's share.
     assert_eq!(
-        refused(drain(&mut rollout, Scope::Streamer("s4".into()), 20_000)).to_string(),
+        refused(drain(&mut rollout, DrainScope::Streamer("s4".into()), 20_000)).to_string(),
         "budget of rack 1: 50% of its links may be out, 100% would be"
     );
     assert!(matches!(
-        refused(drain(&mut rollout, Scope::Hall("a".into()), 20_000)),
+        refused(drain(&mut rollout, DrainScope::Hall("a".into()), 20_000)),
         Refusal::Streamers(4, ..)
     ));
     assert_eq!(rollout.streamers_out().len(), 1, "all or none");
-    let hall = drain(&mut rollout, Scope::Hall("b".into()), 20_000);
+    let hall = drain(&mut rollout, DrainScope::Hall("b".into()), 20_000);
     assert_eq!(hall, Reply::Drained { number: 2, names: vec!["s3".into(), "s5".into()] });
-    assert_eq!(refused(drain(&mut rollout, Scope::Hall("c".into()), 20_000)), Refusal::Unknown);
+    assert_eq!(refused(drain(&mut rollout, DrainScope::Hall("c".into()), 20_000)), Refusal::Unknown);
     rollout.budgets.streamers = 6;
-    assert!(matches!(refused(drain(&mut rollout, Scope::Streamer("s0".into()), 20_000)),
+    assert!(matches!(refused(drain(&mut rollout, DrainScope::Streamer("s0".into()), 20_000)),
         Refusal::Share(what, 66, 50) if what == "the fleet"));
 }
 
@@ -76,23 +77,23 @@
 fn what_is_not_in_service_counts_and_a_permit_is_free_only_when_warm_and_in_service() {
     let mut rollout = fleet();
     told(&mut rollout, vec![seen(0, false), seen(2, false)], 11_000);
-    let one = Scope::Streamer("s1".into());
+    let one = DrainScope::Streamer("s1".into());
     drain(&mut rollout, one.clone(), 20_000);
     assert!(matches!(
-        refused(drain(&mut rollout, Scope::Streamer("s3".into()), 20_000)),
+        refused(drain(&mut rollout, DrainScope::Streamer("s3".into()), 20_000)),
         Refusal::Streamers(..)
     ));
     // It dies while it is drained, is opened, and is not free before it is in service and warm.
     told(&mut rollout, vec![seen(1, false)], 21_000);
     open(&mut rollout, one, 22_000);
-    rollout.take(Command::Time { now_ms: 30_000 });
+    rollout.apply_command(Command::Time { now_ms: 30_000 });
     assert!(rollout.streamers["s1"].permit.is_some(), "not in service");
-    assert!(!rollout.streamers["s1"].closed());
+    assert!(!rollout.streamers["s1"].is_closed());
     told(&mut rollout, vec![seen(1, true)], 31_000);
     assert!(rollout.streamers["s1"].permit.is_none());
     assert_eq!(rollout.streamers["s1"].opened_ms, 22_000);
     // One that the platform took out for good counts no longer.
-    told(&mut rollout, vec![StreamerSeen { gone: true, ..seen(0, false) }], 32_000);
+    told(&mut rollout, vec![ListedStreamer { gone: true, ..seen(0, false) }], 32_000);
     assert!(!rollout.streamers.contains_key("s0"));
     let again = Rollout::restore(&rollout.snapshot()).expect("own bytes");
     assert_eq!(again, rollout);
@@ -101,37 +102,39 @@
 #[test]
 fn one_that_is_opened_is_out_until_its_warm_up_is_over_and_one_that_is_late_halts_all() {
     let mut rollout = fleet();
-    let one = Scope::Streamer("s1".into());
+    let one = DrainScope::Streamer("s1".into());
     drain(&mut rollout, one.clone(), 20_000);
     open(&mut rollout, one, 25_000);
-    assert_eq!(rollout.next_ms(), Some(30_000));
-    rollout.take(Command::Time { now_ms: 29_000 });
-    assert!(rollout.streamers["s1"].out());
-    rollout.take(Command::Time { now_ms: 30_000 });
-    assert!(!rollout.streamers["s1"].out());
-    drain(&mut rollout, Scope::Streamer("s2".into()), 40_000);
-    rollout.take(Command::Time { now_ms: 100_000 });
+    assert_eq!(rollout.next_deadline_ms(), Some(30_000));
+    rollout.apply_command(Command::Time { now_ms: 29_000 });
+    assert!(rollout.streamers["s1"].is_out());
+    rollout.apply_command(Command::Time { now_ms: 30_000 });
+    assert!(!rollout.streamers["s1"].is_out());
+    drain(&mut rollout, DrainScope::Streamer("s2".into()), 40_000);
+    rollout.apply_command(Command::Time { now_ms: 100_000 });
     assert_eq!(rollout.halted.as_deref(), Some("permit 2 of streamer s2 is overdue"));
     assert!(matches!(
-        refused(drain(&mut rollout, Scope::Streamer("s3".into()), 101_000)),
+        refused(drain(&mut rollout, DrainScope::Streamer("s3".into()), 101_000)),
         Refusal::Halted(_)
     ));
-    assert!(rollout.streamers["s2"].closed(), "it stays closed");
+    assert!(rollout.streamers["s2"].is_closed(), "it stays closed");
 }
 
 #[test]
 fn the_leader_tells_of_streamers_what_the_log_lacks_and_only_that() {
     let mut rollout = fleet();
-    let mut watch = Watch::new();
+    let mut watch = Reconciler::new();
     let list = |up| (0..6).map(|k| seen(k, up || k != 3)).collect::<Vec<_>>();
-    assert!(watch.streamers(50_000, &rollout, list(true), 5_000).is_none());
-    let Some(Command::Streamers { seen, .. }) = watch.streamers(50_000, &rollout, list(false), 5_000) else {
+    assert!(watch.reconcile_streamers(50_000, &rollout, list(true), 5_000).is_none());
+    let Some(Command::Streamers { seen, .. }) =
+        watch.reconcile_streamers(50_000, &rollout, list(false), 5_000)
+    else {
         panic!("s3 is out")
     };
     assert_eq!(seen.iter().map(|s| s.name.as_str()).collect::<Vec<_>>(), ["s3"]);
-    assert!(watch.streamers(50_100, &rollout, list(false), 5_000).is_none(), "it is under way");
+    assert!(watch.reconcile_streamers(50_100, &rollout, list(false), 5_000).is_none(), "it is under way");
     told(&mut rollout, seen, 50_200);
-    assert!(watch.streamers(52_000, &rollout, list(false), 5_000).is_none());
+    assert!(watch.reconcile_streamers(52_000, &rollout, list(false), 5_000).is_none());
 }
 
 fn settings() -> Settings {
@@ -152,28 +155,28 @@
     };
     let named: Vec<(String, String)> = (0..2).map(|k| (format!("s{k}"), "a".into())).collect();
     let mut entries: Vec<Entry> = (0..2).map(entry).collect();
-    drains.list(ListScope::Full, &named, &mut entries);
+    drains.apply_list(ListScope::Full, &named, &mut entries);
     assert!(entries.iter().all(|e| e.started_at.is_none()), "nothing is drained: nothing is changed");
     let mut state = fleet();
-    drain(&mut state, Scope::Streamer("s1".into()), 20_000);
-    assert!(drains.agree(&state).is_empty());
-    assert!(drains.closed(StreamerId(1)) && !drains.closed(StreamerId(0)));
-    open(&mut state, Scope::Streamer("s1".into()), 25_000);
-    let told = drains.agree(&state);
+    drain(&mut state, DrainScope::Streamer("s1".into()), 20_000);
+    assert!(drains.apply_agreed(&state).is_empty());
+    assert!(drains.is_closed(StreamerId(1)) && !drains.is_closed(StreamerId(0)));
+    open(&mut state, DrainScope::Streamer("s1".into()), 25_000);
+    let told = drains.apply_agreed(&state);
     assert_eq!((told.len(), told[0].started_at), (1, Some(25_000_000)));
-    assert!(!drains.closed(StreamerId(1)));
-    assert!(drains.agree(&state).is_empty(), "told once");
+    assert!(!drains.is_closed(StreamerId(1)));
+    assert!(drains.apply_agreed(&state).is_empty(), "told once");
     // The list tells it as one that runs since long ago: the later word stays.
     let mut entries = vec![entry(1)];
-    drains.list(ListScope::Delta, &named[1..], &mut entries);
+    drains.apply_list(ListScope::Delta, &named[1..], &mut entries);
     assert_eq!(entries[0].started_at, Some(25_000_000));
     // A drain that was agreed before this director heard of the streamer holds as well.
     let mut late = Drains::new(&settings());
     let mut state = fleet();
-    drain(&mut state, Scope::Streamer("s1".into()), 20_000);
-    late.agree(&state);
-    late.list(ListScope::Full, &named[1..], &mut [entry(1)]);
-    assert!(late.closed(StreamerId(1)));
+    drain(&mut state, DrainScope::Streamer("s1".into()), 20_000);
+    late.apply_agreed(&state);
+    late.apply_list(ListScope::Full, &named[1..], &mut [entry(1)]);
+    assert!(late.is_closed(StreamerId(1)));
     // As the module asks.
     let request = Request {
         id: RequestId(1),
--- a/src/cli/orders.rs
+++ b/src/cli/orders.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use stonewharf_rollout::{Command, Rollout, Scope};
+use stonewharf_rollout::{Command, DrainScope, Rollout};
 
 /// One try of an order.
 const TRY: Duration = Duration::from_secs(2);
@@ -101,11 +101,11 @@
 }
 
 impl Streamers {
-    fn scope(&self) -> (Scope, &To) {
+    fn scope(&self) -> (DrainScope, &To) {
         match self {
-            Streamers::Streamer { name, to } => (Scope::Streamer(name.clone()), to),
-            Streamers::Rack { rack, to } => (Scope::Rack(*rack), to),
-            Streamers::Hall { name, to } => (Scope::Hall(name.clone()), to),
+            Streamers::Streamer { name, to } => (DrainScope::Streamer(name.clone()), to),
+            Streamers::Rack { rack, to } => (DrainScope::Rack(*rack), to),
+            Streamers::Hall { name, to } => (DrainScope::Hall(name.clone()), to),
         }
     }
 }
@@ -343,7 +343,7 @@
     let mut streamers = Table::new();
     streamers.load_style(presets::NOTHING);
     streamers.set_header(["streamer out", "hall", "rack", "list", "permit", "by"]);
-    for (name, s) in rollout.streamers.iter().filter(|(_, s)| s.out()) {
+    for (name, s) in rollout.streamers.iter().filter(|(_, s)| s.is_out()) {
         let list = if s.up { "in service" } else { "not in service" };
         let permit = s.permit.as_ref().map_or(String::new(), |p| match p.opened_ms {
             Some(_) => format!("{} (opened, cold)", p.number),
@@ -357,7 +357,7 @@
     format!(
         "{table}\n\n{streamers}\n\n{} of {} directors out, {} of a hall at most; {} ms between steps, \
          {} ms at the longest; {} of {} streamers out; halted: {halted}",
-        rollout.out(None).len(),
+        rollout.directors_out(None).len(),
         budgets.directors,
         budgets.directors_of_hall,
         budgets.step_ms,
@@ -368,7 +368,7 @@
 }
 
 fn history_of(rollout: &Rollout) -> String {
-    let line = |a: &stonewharf_rollout::Audit| {
+    let line = |a: &stonewharf_rollout::AuditEntry| {
         let name = if a.name.is_empty() { "fleet" } else { &a.name };
         format!("{}.{:03} {name}: {}", a.at_ms / 1_000, a.at_ms % 1_000, a.what)
     };
--- a/src/cli/release.rs
+++ b/src/cli/release.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use stonewharf_operator::read_hcl;
-use stonewharf_rollout::{Command, Phase, Plan, Rollout};
+use stonewharf_rollout::{Command, Phase, ReleasePlan, Rollout};
 
 /// Between looks of `--watch`.
 const AGAIN: Duration = Duration::from_millis(300);
@@ -69,7 +69,7 @@
     watch_s: f64,
 }
 
-fn plan_of(file: &Path) -> Result<Plan, OrderError> {
+fn plan_of(file: &Path) -> Result<ReleasePlan, OrderError> {
     let name = file.display().to_string();
     let bytes = std::fs::read(file).map_err(|why| OrderError::Plan(format!("{name}: {why}")))?;
     let (written, places): (Written, _) = read_hcl(&name, &String::from_utf8_lossy(&bytes), |_| Ok(()))
@@ -83,7 +83,7 @@
     };
     let Written { name: title, version, waves, watch_s, .. } = written;
     let watch_ms = (watch_s.clamp(0.0, 1e6) * 1e3) as u64;
-    let plan = Plan { name: title, version, settings, waves, watch_ms };
+    let plan = ReleasePlan { name: title, version, settings, waves, watch_ms };
     plan.check().map_err(|why| {
         let line = why.key().map_or(1, |key| places.line(key).max(1));
         OrderError::Plan(format!("{name}:{line}: {why}"))
@@ -136,20 +136,20 @@
 fn line(state: &Rollout) -> String {
     let Some(release) = &state.release else { return "no release was ever begun".into() };
     let phase = match &release.phase {
-        Phase::Forward if release.watched() => "is watched".into(),
+        Phase::Forward if release.is_watched() => "is watched".into(),
         Phase::Forward => "goes on".into(),
         Phase::Halted(why) => format!("is halted: {why}"),
         Phase::Back => "goes back".into(),
         Phase::Done => "is done".into(),
         Phase::Returned => "is back".into(),
     };
-    let reached = state.directors.values().filter(|d| release.plan.reached(d)).count();
+    let reached = state.directors.values().filter(|d| release.plan.is_applied_to(d)).count();
     format!(
         "release {} {phase}; wave {} of {}, {reached} of {} directors changed, {} out",
         release.plan.name,
         release.wave + 1,
         release.plan.waves.len(),
         release.order.len(),
-        state.out(None).len()
+        state.directors_out(None).len()
     )
 }
--- a/src/net/agreed/mod.rs
+++ b/src/net/agreed/mod.rs
@@ -22,7 +22,10 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use stonewharf_agreement::{Agreement, AgreementSettings, Answer, Deed, Me, Order};
-use stonewharf_rollout::{Command, Health, Holder, Judge, OutSettings, SharedDrains, Step, Verdict, Watch};
+use stonewharf_rollout::{
+    Command, DisruptionBudgets, Health, HolderAction, PermitHolder, Reconciler, SharedDrains, Verdict,
+    WaveAnalysis,
+};
 use whole::{Whole, on_estates};
 
 /// Between a leader's looks at the members.
@@ -50,9 +53,9 @@
     name: String,
     agreement: Agreement<Whole>,
     store: Option<StoreThread>,
-    holder: Holder,
-    watch: Watch,
-    judge: Judge,
+    holder: PermitHolder,
+    watch: Reconciler,
+    judge: WaveAnalysis,
     health_at: Micros,
     incarnation: u64,
     /// What is closed, kept for the next start, where there is a folder.
@@ -63,7 +66,7 @@
     pub hands: Option<Hands>,
     /// The confirmation of the lead that is under way, and the term in which it was asked for.
     confirm: Option<(u128, u64)>,
-    budgets: OutSettings,
+    budgets: DisruptionBudgets,
     ids: u64,
     number: u64,
     led_since: Option<Micros>,
@@ -80,7 +83,7 @@
     pub fn start(
         shared: &Shared,
         set: &AgreementSettings,
-        budgets: OutSettings,
+        budgets: DisruptionBudgets,
         drains: SharedDrains,
         folder: Option<&Path>,
         peers: &Peers,
@@ -103,19 +106,19 @@
                 info!(shared.log, "streamers are taken for closed until what is agreed is heard";
                     "at_us" => shared.now, "streamers" => kept.join(" "));
             }
-            drains.0.borrow_mut().remembered(kept);
+            drains.0.borrow_mut().restore_closed(kept);
             narrowed
         });
         let ids = stonewharf_fleet::digest(format!("{name}#{incarnation}").as_bytes());
         let fresh = stonewharf_fleet::digest(format!("{name}#{incarnation}#folder").as_bytes()).max(1);
         let me = Me { name: name.clone(), life: incarnation, fresh };
         Agreed {
-            holder: Holder::new(&name, incarnation),
+            holder: PermitHolder::new(&name, incarnation),
             name,
             agreement: Agreement::new(set, me, kept, shared.now, Whole::default()),
             store,
-            watch: Watch::new(),
-            judge: Judge::default(),
+            watch: Reconciler::new(),
+            judge: WaveAnalysis::default(),
             health_at: shared.now,
             incarnation,
             narrowed,
@@ -135,14 +138,14 @@
     }
 
     /// Other budgets stand in the operator file; the leader puts them in force.
-    pub fn budgets(&mut self, budgets: OutSettings) {
+    pub fn budgets(&mut self, budgets: DisruptionBudgets) {
         self.budgets = budgets;
     }
 
     /// This director was told to end; true where it waits for a permit first.
     pub fn told_to_end(&mut self, shared: &Shared) -> bool {
         let wait_ms = self.budgets.ask_ms;
-        self.holder.told(shared.now / 1_000 + wait_ms, "SIGTERM");
+        self.holder.request_leave(shared.now / 1_000 + wait_ms, "SIGTERM");
         wait_ms > 0
     }
 
@@ -156,7 +159,7 @@
                         Ok(Spoken::Log(word)) => self.agreement.hear(shared.now, &from, word).is_ok(),
                         Ok(Spoken::Health(health)) => {
                             let state = &self.agreement.machine().rollout;
-                            self.judge.hear(shared.now / 1_000, state, &from, health);
+                            self.judge.record(shared.now / 1_000, state, &from, health);
                             true
                         }
                         Ok(Spoken::Estate(word)) => {
@@ -193,7 +196,7 @@
         self.estates(shared, peers);
         self.carry_out(shared, peers);
         self.tell(shared);
-        let held = self.holder.next_ms().map_or(Micros::MAX, |ms| ms.saturating_mul(1_000));
+        let held = self.holder.next_poll_ms().map_or(Micros::MAX, |ms| ms.saturating_mul(1_000));
         let look = if self.led_since.is_some() { self.look_at } else { Micros::MAX };
         let health = if self.watched() { self.health_at } else { Micros::MAX };
         let estates = self.hands.as_ref().map_or(Micros::MAX, Hands::next);
@@ -212,7 +215,7 @@
     }
 
     fn watched(&self) -> bool {
-        self.agreement.machine().rollout.release.as_ref().is_some_and(|release| release.watched())
+        self.agreement.machine().rollout.release.as_ref().is_some_and(|release| release.is_watched())
     }
 
     /// While a release is watched, all tell the leader what they count.
@@ -233,7 +236,7 @@
         match self.agreement.status().leader {
             Some(leader) if leader == self.name => {
                 let state = &self.agreement.machine().rollout;
-                self.judge.hear(shared.now / 1_000, state, &self.name, health);
+                self.judge.record(shared.now / 1_000, state, &self.name, health);
             }
             Some(leader) => {
                 let bytes = postcard::to_allocvec(&Spoken::Health(health)).unwrap_or_default();
@@ -259,9 +262,14 @@
         let members = members(peers, shared);
         let sure = since.saturating_add(SURE_US) <= shared.now;
         let (state, now_ms) = (&self.agreement.machine().rollout, shared.now / 1_000);
-        let mut commands = self.watch.look(now_ms, state, &self.budgets, &members, sure);
+        let mut commands = self.watch.reconcile_directors(now_ms, state, &self.budgets, &members, sure);
         let drains = self.drains.0.borrow();
-        commands.extend(self.watch.streamers(now_ms, state, drains.seen(), drains.warm_up_ms()));
+        commands.extend(self.watch.reconcile_streamers(
+            now_ms,
+            state,
+            drains.listed_streamers(),
+            drains.warm_up_ms(),
+        ));
         drop(drains);
         let watch = state.release.as_ref().map_or(0, |release| release.watches);
         commands.extend(self.judge.verdict(now_ms, state).map(|verdict| match verdict {
@@ -270,20 +278,20 @@
         }));
         for command in commands {
             let id = self.id();
-            self.agreement.order(shared.now, id, Order::Act(command.write()));
+            self.agreement.order(shared.now, id, Order::Act(command.encode()));
         }
     }
 
     /// What this director does about its own leaving.
     fn hold(&mut self, shared: &Shared) -> Option<Option<u64>> {
-        match self.holder.look(shared.now / 1_000, &self.agreement.machine().rollout) {
-            Step::Stay => None,
-            Step::Ask(command) => {
+        match self.holder.poll(shared.now / 1_000, &self.agreement.machine().rollout) {
+            HolderAction::Stay => None,
+            HolderAction::RequestPermit(command) => {
                 let id = self.id();
-                self.agreement.order(shared.now, id, Order::Act(command.write()));
+                self.agreement.order(shared.now, id, Order::Act(command.encode()));
                 None
             }
-            Step::Leave(permit) => {
+            HolderAction::Leave(permit) => {
                 match permit {
                     Some(number) => info!(shared.log, "leaves by permit"; "at_us" => shared.now,
                         "permit" => number),
@@ -351,7 +359,7 @@
         }
         self.seen = self.agreement.version();
         let rollout = &self.agreement.machine().rollout;
-        let entries = self.drains.0.borrow_mut().agree(rollout);
+        let entries = self.drains.0.borrow_mut().apply_agreed(rollout);
         if let Some(narrowed) = &mut self.narrowed {
             narrowed.keep(self.drains.0.borrow().closed_names());
         }
--- a/src/net/agreed/persons.rs
+++ b/src/net/agreed/persons.rs
@@ -78,7 +78,7 @@
                 return say(shared, peers, token, &told);
             }
             Ok(Request::Read { id }) => (id, Order::Read),
-            Ok(Request::Act { id, command }) => (id, Order::Act(command.write())),
+            Ok(Request::Act { id, command }) => (id, Order::Act(command.encode())),
             Ok(Request::Voter { id, name, add: true }) => (id, Order::AddVoter(name)),
             Ok(Request::Voter { id, name, add: false }) => (id, Order::RemoveVoter(name)),
             Err(_) => {
@@ -102,7 +102,7 @@
                     let told = self.told(true, false, String::new(), true);
                     return Told { rollout: Some(whole.rollout), ..told };
                 }
-                match Reply::read(bytes) {
+                match Reply::decode(bytes) {
                     Reply::Done => self.told(true, false, "done".into(), false),
                     Reply::Permit(permit) => {
                         self.told(true, false, format!("permit {}", permit.number), false)
--- a/src/net/agreed/seen.rs
+++ b/src/net/agreed/seen.rs
@@ -9,10 +9,18 @@
 /// The members as the leader's view has them.
 pub(super) fn members(peers: &Peers, shared: &Shared) -> Vec<Member> {
     let of = |m: stonewharf_fleet::MemberView| {
-        let is_in = m.standing == Standing::In;
-        let serves = is_in && m.phase == Phase::Serving;
+        let in_fleet = m.standing == Standing::In;
+        let serving = in_fleet && m.phase == Phase::Serving;
         let (version, settings) = (m.version, m.digest);
-        Member { name: m.name, hall: m.hall, incarnation: m.incarnation, serves, is_in, version, settings }
+        Member {
+            name: m.name,
+            hall: m.hall,
+            incarnation: m.incarnation,
+            serving,
+            in_fleet,
+            version,
+            settings,
+        }
     };
     peers.view(shared).members.into_iter().map(of).collect()
 }
--- a/src/net/agreed/whole.rs
+++ b/src/net/agreed/whole.rs
@@ -41,7 +41,7 @@
             Some((&ESTATES, command)) => {
                 postcard::to_allocvec(&self.estates.apply(command)).unwrap_or_default()
             }
-            _ => self.rollout.apply(command).write(),
+            _ => self.rollout.apply(command).encode(),
         }
     }
 
@@ -64,7 +64,7 @@
     #[test]
     fn both_parts_come_back_and_a_state_of_before_has_no_estates() {
         let mut whole = Whole::default();
-        whole.apply(&Out::Time { now_ms: 7 }.write());
+        whole.apply(&Out::Time { now_ms: 7 }.encode());
         whole.apply(&on_estates(&Command::Reign { name: "d0".into(), life: 1 }));
         assert_eq!((whole.rollout.now_ms, whole.estates.reign), (7, 1));
         let back = Whole::read(&whole.snapshot()).expect("read");
--- a/src/net/hear.rs
+++ b/src/net/hear.rs
@@ -122,7 +122,7 @@
         };
         let named: Vec<(String, String)> = entries.iter().map(|(e, _)| name(e)).collect();
         let mut narrowed: Vec<Entry> = entries.iter().map(|(e, _)| e.clone()).collect();
-        drains.0.borrow_mut().list(scope, &named, &mut narrowed);
+        drains.0.borrow_mut().apply_list(scope, &named, &mut narrowed);
         entries.iter_mut().zip(narrowed).for_each(|(e, narrowed)| e.0 = narrowed);
     }
 }
