--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -218,25 +218,32 @@
             Refusal::Unknown => write!(f, "the fleet knows no such director"),
             Refusal::Absent => write!(f, "it is not in service"),
             Refusal::Halted(why) => write!(f, "halted: {why}"),
-            Refusal::Fleet(out, most) => {
-                write!(f, "budget of the fleet: {most} may be out, and {} are: {}", out.len(), out.join(" "))
+            Refusal::Fleet(out, budget) => {
+                write!(
+                    f,
+                    "budget of the fleet: {budget} may be out, and {} are: {}",
+                    out.len(),
+                    out.join(" ")
+                )
             }
-            Refusal::Hall(hall, out, most) => write!(
+            Refusal::Hall(hall, out, budget) => write!(
                 f,
-                "budget of hall {hall:?}: {most} may be out, and {} are: {}",
+                "budget of hall {hall:?}: {budget} may be out, and {} are: {}",
                 out.len(),
                 out.join(" ")
             ),
-            Refusal::Streamers(after, out, most) => write!(
+            Refusal::Streamers(after, out, budget) => write!(
                 f,
-                "budget of streamers: {most} may be out, {after} would be; out are: {}",
+                "budget of streamers: {budget} may be out, {after} would be; out are: {}",
                 out.join(" ")
             ),
             Refusal::Release(why) => f.write_str(why),
-            Refusal::Share(what, after, most) => {
-                write!(f, "budget of {what}: {most}% of its links may be out, {after}% would be")
+            Refusal::Share(what, after, budget) => {
+                write!(f, "budget of {what}: {budget}% of its links may be out, {after}% would be")
+            }
+            Refusal::TooSoon(remaining_ms) => {
+                write!(f, "the time between two steps has {remaining_ms} ms left")
             }
-            Refusal::TooSoon(left) => write!(f, "the time between two steps has {left} ms left"),
         }
     }
 }
--- a/crates/rollout/src/drains.rs
+++ b/crates/rollout/src/drains.rs
@@ -10,7 +10,7 @@
     Constraints, Entry, Event, ListScope, Micros, PlacementLimits, Request, Settings, Standing, StreamerId,
 };
 
-struct Known {
+struct ListedEntry {
     entry: Entry,
     hall: String,
     /// The latest opening that the module was told of, by its own clock.
@@ -22,24 +22,24 @@
     racks: u32,
     weight_kb: f64,
     warm_up_us: Micros,
-    known: BTreeMap<String, Known>,
+    listed: BTreeMap<String, ListedEntry>,
     closed: HashSet<StreamerId>,
     /// Names that the agreed state has closed, and when it opened others last.
     closed_names: HashSet<String>,
-    opened: BTreeMap<String, Micros>,
+    opened_us: BTreeMap<String, Micros>,
 }
 
 impl Drains {
     /// A director that knows of no drain yet.
-    pub fn new(set: &Settings) -> Drains {
+    pub fn new(settings: &Settings) -> Drains {
         Drains {
-            racks: set.racks.max(1),
-            weight_kb: set.weight_kb,
-            warm_up_us: set.warm_up_us,
-            known: BTreeMap::new(),
+            racks: settings.racks.max(1),
+            weight_kb: settings.weight_kb,
+            warm_up_us: settings.warm_up_us,
+            listed: BTreeMap::new(),
             closed: HashSet::new(),
             closed_names: HashSet::new(),
-            opened: BTreeMap::new(),
+            opened_us: BTreeMap::new(),
         }
     }
 
@@ -60,17 +60,18 @@
     /// that was opened after it had started is told as started then.
     pub fn apply_list(&mut self, scope: ListScope, named: &[(String, String)], entries: &mut [Entry]) {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
-            self.known.values_mut().for_each(|k| k.entry.standing = Standing::Gone); // unless named below
+            self.listed.values_mut().for_each(|k| k.entry.standing = Standing::Gone); // unless named below
         }
         for (entry, (name, hall)) in entries.iter_mut().zip(named) {
-            let opened_at = self.opened.get(name).copied().unwrap_or(0);
+            let opened_at = self.opened_us.get(name).copied().unwrap_or(0);
             if opened_at > 0 {
                 entry.started_at = entry.started_at.max(Some(opened_at));
             }
             if self.closed_names.contains(name) {
                 self.closed.insert(entry.streamer);
             }
-            self.known.insert(name.clone(), Known { entry: entry.clone(), hall: hall.clone(), opened_at });
+            self.listed
+                .insert(name.clone(), ListedEntry { entry: entry.clone(), hall: hall.clone(), opened_at });
         }
     }
 
@@ -79,31 +80,31 @@
         let closed = state.streamers.iter().filter(|(_, s)| s.is_closed()).map(|(name, _)| name.clone());
         self.closed_names = closed.collect();
         let opened = state.streamers.iter().filter(|(_, s)| s.opened_ms > 0);
-        self.opened = opened.map(|(name, s)| (name.clone(), s.opened_ms.saturating_mul(1_000))).collect();
-        let of = |name: &String| self.known.get(name).map(|k| k.entry.streamer);
-        self.closed = self.closed_names.iter().filter_map(of).collect();
-        let mut told = Vec::new();
-        for (name, at) in &self.opened {
-            if let Some(known) = self.known.get_mut(name).filter(|k| k.opened_at < *at) {
-                known.opened_at = *at;
-                known.entry.started_at = known.entry.started_at.max(Some(*at));
-                told.push(known.entry.clone());
+        self.opened_us = opened.map(|(name, s)| (name.clone(), s.opened_ms.saturating_mul(1_000))).collect();
+        let id_of = |name: &String| self.listed.get(name).map(|k| k.entry.streamer);
+        self.closed = self.closed_names.iter().filter_map(id_of).collect();
+        let mut restarted = Vec::new();
+        for (name, at) in &self.opened_us {
+            if let Some(listed) = self.listed.get_mut(name).filter(|k| k.opened_at < *at) {
+                listed.opened_at = *at;
+                listed.entry.started_at = listed.entry.started_at.max(Some(*at));
+                restarted.push(listed.entry.clone());
             }
         }
-        told
+        restarted
     }
 
     /// The streamers as this director's list has them, for the leader's watch.
     pub fn listed_streamers(&self) -> Vec<ListedStreamer> {
-        let of = |(name, known): (&String, &Known)| ListedStreamer {
+        let to_listed = |(name, listed): (&String, &ListedEntry)| ListedStreamer {
             name: name.clone(),
-            hall: known.hall.clone(),
-            rack: known.entry.cell % self.racks,
-            kb: (known.entry.weight * self.weight_kb).max(0.0) as u64,
-            up: known.entry.standing == Standing::Up,
-            gone: known.entry.standing == Standing::Gone,
+            hall: listed.hall.clone(),
+            rack: listed.entry.cell % self.racks,
+            kb: (listed.entry.weight * self.weight_kb).max(0.0) as u64,
+            up: listed.entry.standing == Standing::Up,
+            gone: listed.entry.standing == Standing::Gone,
         };
-        self.known.iter().map(of).collect()
+        self.listed.iter().map(to_listed).collect()
     }
 
     /// How long a streamer is cold, milliseconds.
--- a/crates/rollout/src/holder.rs
+++ b/crates/rollout/src/holder.rs
@@ -4,7 +4,7 @@
 use crate::rollout::Rollout;
 
 /// Between times that it asks.
-const AGAIN_MS: u64 = 250;
+const RETRY_MS: u64 = 250;
 
 /// What a director should do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,11 +23,11 @@
     name: String,
     incarnation: u64,
     /// Told to end: until when it waits for a permit, and by whom.
-    told: Option<(u64, String)>,
-    asked_ms: u64,
+    leave_request: Option<(u64, String)>,
+    last_request_ms: u64,
     /// The last permit that it gave back. What is agreed may tell of it for a while longer: acting on it
     /// then would be acting on nothing.
-    returned: u64,
+    returned_permit: u64,
     left: bool,
 }
 
@@ -35,24 +35,32 @@
     /// A life that serves.
     pub fn new(name: &str, incarnation: u64) -> PermitHolder {
         let name = name.to_owned();
-        PermitHolder { name, incarnation, told: None, asked_ms: 0, returned: 0, left: false }
+        PermitHolder {
+            name,
+            incarnation,
+            leave_request: None,
+            last_request_ms: 0,
+            returned_permit: 0,
+            left: false,
+        }
     }
 
     /// It was told to end, and may wait until a time (Unix milliseconds) for a permit.
-    pub fn request_leave(&mut self, until_ms: u64, by: &str) {
-        self.told.get_or_insert((until_ms, by.to_owned()));
+    pub fn request_leave(&mut self, deadline_ms: u64, by: &str) {
+        self.leave_request.get_or_insert((deadline_ms, by.to_owned()));
     }
 
     /// When [`PermitHolder::poll`] wants to be called at the latest, Unix milliseconds.
     pub fn next_poll_ms(&self) -> Option<u64> {
-        let told = self.told.as_ref().filter(|_| !self.left);
-        told.map(|(until, _)| self.asked_ms.saturating_add(AGAIN_MS).min(*until))
+        let request = self.leave_request.as_ref().filter(|_| !self.left);
+        request.map(|(deadline, _)| self.last_request_ms.saturating_add(RETRY_MS).min(*deadline))
     }
 
     /// The permit on which this life may leave, as agreed.
     pub fn permit(&self, state: &Rollout) -> Option<u64> {
         let permit = state.directors.get(&self.name)?.permit.as_ref()?;
-        (permit.incarnation == self.incarnation && permit.number > self.returned).then_some(permit.number)
+        (permit.incarnation == self.incarnation && permit.number > self.returned_permit)
+            .then_some(permit.number)
     }
 
     /// What it should do by what is agreed. [`HolderAction::Leave`] comes once.
@@ -64,23 +72,23 @@
             self.left = true;
             return HolderAction::Leave(Some(number));
         }
-        let Some((until, by)) = &self.told else { return HolderAction::Stay };
-        if *until <= now_ms {
+        let Some((deadline, by)) = &self.leave_request else { return HolderAction::Stay };
+        if *deadline <= now_ms {
             self.left = true;
             return HolderAction::Leave(None);
         }
-        if self.asked_ms.saturating_add(AGAIN_MS) > now_ms {
+        if self.last_request_ms.saturating_add(RETRY_MS) > now_ms {
             return HolderAction::Stay;
         }
-        self.asked_ms = now_ms;
+        self.last_request_ms = now_ms;
         HolderAction::RequestPermit(Command::Ask { name: self.name.clone(), by: by.clone(), now_ms })
     }
 
     /// It stays after all, where it has a permit and has not left by it.
     pub fn return_permit(&mut self, state: &Rollout) -> Option<Command> {
         let number = self.permit(state).filter(|_| !self.left)?;
-        self.returned = number;
-        self.told = None;
+        self.returned_permit = number;
+        self.leave_request = None;
         Some(Command::Return { name: self.name.clone(), number })
     }
 }
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -17,19 +17,19 @@
 /// The loss that must not be missed: part of all requests.
 pub const NON_INFERIORITY_MARGIN: f64 = 0.05;
 /// One-sided 99%: five looks together keep 95%.
-const SURE_PASS: f64 = 2.326;
+const PASS_Z: f64 = 2.326;
 /// At each of some hundred looks together under 1%.
-const SURE_EARLY: f64 = 4.0;
+const EARLY_HALT_Z: f64 = 4.0;
 /// At a look: 99.9%.
-const SURE_LATE: f64 = 3.09;
+const LOOK_HALT_Z: f64 = 3.09;
 /// A difference smaller than this harms nobody, however sure it is.
-const HARM_FROM: f64 = 0.01;
+const MIN_HARMFUL_LOSS: f64 = 0.01;
 /// Requests of the changed ones from which on a difference is looked at.
-const LEAST: f64 = 20.0;
+const MIN_CHANGED_REQUESTS: f64 = 20.0;
 /// Looks, each a watch after the one before; a wave that can't be told by then halts.
-const LOOKS: u64 = 5;
+const MAX_LOOKS: u64 = 5;
 /// A count older than this is of a director that no longer tells.
-const FRESH_MS: u64 = 3_000;
+const MAX_COUNT_AGE_MS: u64 = 3_000;
 
 /// What a director counted since the start of its life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
@@ -58,10 +58,10 @@
 }
 
 #[derive(Clone, Copy)]
-struct Counted {
+struct CountRange {
     first: Health,
     last: Health,
-    at_ms: u64,
+    received_ms: u64,
 }
 
 /// The judgement of one watch.
@@ -70,29 +70,29 @@
     watch: u64,
     /// Looks of this watch so far.
     looks: u64,
-    counted: BTreeMap<String, Counted>,
+    counts: BTreeMap<String, CountRange>,
     /// Shares served by unchanged ones in earlier waves, by hall: what the last wave is held against.
-    former: BTreeMap<String, (f64, f64)>,
+    earlier_unchanged: BTreeMap<String, (f64, f64)>,
 }
 
 impl WaveAnalysis {
     /// A director's counts came in.
     pub fn record(&mut self, now_ms: u64, state: &Rollout, name: &str, health: Health) {
         let Some(release) = state.release.as_ref().filter(|r| r.is_watched()) else { return };
-        self.begin(release.watches);
-        let fresh = Counted { first: health, last: health, at_ms: now_ms };
-        let counted = self.counted.entry(name.to_owned()).or_insert(fresh);
+        self.start_watch(release.watches);
+        let initial = CountRange { first: health, last: health, received_ms: now_ms };
+        let counted = self.counts.entry(name.to_owned()).or_insert(initial);
         if counted.first.incarnation != health.incarnation {
-            *counted = fresh;
+            *counted = initial;
         }
-        (counted.last, counted.at_ms) = (health, now_ms);
+        (counted.last, counted.received_ms) = (health, now_ms);
     }
 
     /// Another watch begins with no counts and no looks.
-    fn begin(&mut self, watch: u64) {
+    fn start_watch(&mut self, watch: u64) {
         if self.watch != watch {
             (self.watch, self.looks) = (watch, 0);
-            self.counted.clear();
+            self.counts.clear();
         }
     }
 
@@ -101,78 +101,86 @@
         let release = state.release.as_ref().filter(|r| r.is_watched())?;
         let since = release.watched_since?;
         let watched_ms = now_ms.saturating_sub(since);
-        self.begin(release.watches);
-        let due = (watched_ms / release.plan.watch_ms.max(1)).min(LOOKS);
-        let over = due > self.looks;
-        self.looks = self.looks.max(due);
+        self.start_watch(release.watches);
+        let looks_due = (watched_ms / release.plan.watch_ms.max(1)).min(MAX_LOOKS);
+        let at_look = looks_due > self.looks;
+        self.looks = self.looks.max(looks_due);
         let (mut weight, mut difference, mut variance, mut requests) = (0.0, 0.0, 0.0, 0.0);
-        for (hall, [changed, unchanged]) in self.halls(now_ms, state, release) {
+        for (hall, [changed, unchanged]) in self.requests_by_hall(now_ms, state, release) {
             let unchanged = if unchanged.0 > 0.0 {
-                self.former.insert(hall, unchanged);
+                self.earlier_unchanged.insert(hall, unchanged);
                 unchanged
             } else {
-                self.former.get(&hall).copied().unwrap_or_default()
+                self.earlier_unchanged.get(&hall).copied().unwrap_or_default()
             };
             if changed.0 <= 0.0 || unchanged.0 <= 0.0 {
                 continue;
             }
-            let ((n, served), (m, held)) = (changed, unchanged);
-            let w = n * m / (n + m);
-            let part = |n: f64, x: f64| {
+            let ((changed_total, changed_served), (unchanged_total, unchanged_served)) = (changed, unchanged);
+            let hall_weight = changed_total * unchanged_total / (changed_total + unchanged_total);
+            let share_variance = |n: f64, x: f64| {
                 let p = (x + 1.0) / (n + 2.0);
                 p * (1.0 - p) / n
             };
-            weight += w;
-            requests += n;
-            difference += w * (held / m - served / n);
-            variance += w * w * (part(n, served) + part(m, held));
+            weight += hall_weight;
+            requests += changed_total;
+            difference += hall_weight * (unchanged_served / unchanged_total - changed_served / changed_total);
+            variance += hall_weight
+                * hall_weight
+                * (share_variance(changed_total, changed_served)
+                    + share_variance(unchanged_total, unchanged_served));
         }
-        let longest = over && due == LOOKS;
+        let at_last_look = at_look && looks_due == MAX_LOOKS;
         if weight <= 0.0 {
             // Nobody to compare with: all are changed, and whoever leads has not seen the waves before.
-            let alone = release
+            let all_changed = release
                 .order
                 .iter()
                 .all(|n| state.directors.get(n).is_some_and(|d| release.plan.is_applied_to(d)));
-            return match (due > 0 && alone, longest) {
+            return match (looks_due > 0 && all_changed, at_last_look) {
                 (true, _) => Some(Verdict::Passed),
                 (false, true) => Some(Verdict::Halt("no requests to judge it by".into())),
                 _ => None,
             };
         }
         let (loss, error) = (difference / weight, variance.sqrt() / weight);
-        let told = || {
+        let summary = || {
             format!(
                 "its directors serve {:.1}% less than the unchanged, of {requests:.0} requests",
                 loss * 100.0
             )
         };
-        let sure = if over { SURE_LATE } else { SURE_EARLY };
-        if requests >= LEAST && loss > HARM_FROM && loss > sure * error {
-            return Some(Verdict::Halt(told()));
+        let halt_z = if at_look { LOOK_HALT_Z } else { EARLY_HALT_Z };
+        if requests >= MIN_CHANGED_REQUESTS && loss > MIN_HARMFUL_LOSS && loss > halt_z * error {
+            return Some(Verdict::Halt(summary()));
         }
-        if over && loss + SURE_PASS * error < NON_INFERIORITY_MARGIN {
+        if at_look && loss + PASS_Z * error < NON_INFERIORITY_MARGIN {
             return Some(Verdict::Passed);
         }
-        longest.then(|| Verdict::Halt(format!("too few requests to rule out a loss: {}", told())))
+        at_last_look.then(|| Verdict::Halt(format!("too few requests to rule out a loss: {}", summary())))
     }
 
     /// Requests taken and served in this watch, by hall, of changed and of unchanged directors.
-    fn halls(&self, now_ms: u64, state: &Rollout, release: &Release) -> BTreeMap<String, [(f64, f64); 2]> {
+    fn requests_by_hall(
+        &self,
+        now_ms: u64,
+        state: &Rollout,
+        release: &Release,
+    ) -> BTreeMap<String, [(f64, f64); 2]> {
         let members: BTreeSet<&String> = release.changed.keys().collect();
         let mut halls: BTreeMap<String, [(f64, f64); 2]> = BTreeMap::new();
-        for (name, counted) in &self.counted {
+        for (name, counted) in &self.counts {
             let Some(director) = state.directors.get(name) else { continue };
-            if counted.at_ms.saturating_add(FRESH_MS) < now_ms {
+            if counted.received_ms.saturating_add(MAX_COUNT_AGE_MS) < now_ms {
                 continue;
             }
             let group = usize::from(!members.contains(name));
-            let of = &mut halls.entry(director.hall.clone()).or_default()[group];
+            let totals = &mut halls.entry(director.hall.clone()).or_default()[group];
             let answered = |h: &Health| h.served + h.refused + h.failed + h.unanswered;
             let all = answered(&counted.last).saturating_sub(answered(&counted.first));
             let served = counted.last.served.saturating_sub(counted.first.served);
-            of.0 += all as f64;
-            of.1 += served.min(all) as f64;
+            totals.0 += all as f64;
+            totals.1 += served.min(all) as f64;
         }
         halls
     }
--- a/crates/rollout/src/release.rs
+++ b/crates/rollout/src/release.rs
@@ -2,12 +2,12 @@
 //! director that leads carries it on; one that is halted stays so until a person resumes it or takes it back.
 //! Who restarts processes is outside: a supervisor asks for each director's step.
 use crate::command::{Refusal, Reply, Standing};
-use crate::rollout::{Director, Rollout, clipped};
+use crate::rollout::{Director, Rollout, truncated};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Directors that are lost beside the release, from which on the view of who is there is in doubt.
-const DOUBT_FROM: usize = 2;
+const MIN_LOST_FOR_DOUBT: usize = 2;
 
 /// What is to change, and how.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
@@ -106,8 +106,8 @@
         if self.version.is_empty() && self.settings.is_empty() {
             return Err(PlanError::Nothing);
         }
-        let rises = self.waves.windows(2).all(|w| w[0] < w[1]);
-        if !rises || self.waves.last() != Some(&100) || self.waves.len() > 20 {
+        let rising = self.waves.windows(2).all(|w| w[0] < w[1]);
+        if !rising || self.waves.last() != Some(&100) || self.waves.len() > 20 {
             return Err(PlanError::Waves);
         }
         if !(1_000..=3_600_000).contains(&self.watch_ms) {
@@ -125,7 +125,7 @@
 
 impl Release {
     /// How many of the order are changed after a wave.
-    fn until(&self, wave: usize) -> usize {
+    fn directors_through(&self, wave: usize) -> usize {
         let percent = self.plan.waves.get(wave).copied().unwrap_or(100) as usize;
         let share = (self.order.len() * percent).div_ceil(100);
         share.max(wave + 1).min(self.order.len())
@@ -133,8 +133,8 @@
 
     /// The wave of a director.
     pub fn wave_of(&self, name: &str) -> Option<usize> {
-        let at = self.order.iter().position(|n| n == name)?;
-        (0..self.plan.waves.len()).find(|wave| at < self.until(*wave))
+        let position = self.order.iter().position(|n| n == name)?;
+        (0..self.plan.waves.len()).find(|wave| position < self.directors_through(*wave))
     }
 
     /// Whether anything of it may still move.
@@ -149,7 +149,7 @@
 }
 
 impl Rollout {
-    pub(crate) fn release_start(&mut self, plan: ReleasePlan, by: &str) -> Reply {
+    pub(crate) fn start_release(&mut self, plan: ReleasePlan, by: &str) -> Reply {
         if self.release.as_ref().is_some_and(Release::is_active) {
             return Reply::Refused(Refusal::Release("another release is under way".into()));
         }
@@ -168,7 +168,7 @@
         }
         self.record(
             "",
-            format!("release {} of {} directors begins, by {}", plan.name, order.len(), clipped(by)),
+            format!("release {} of {} directors begins, by {}", plan.name, order.len(), truncated(by)),
         );
         self.release = Some(Release {
             plan,
@@ -179,12 +179,12 @@
             watched_since: None,
             watches: 0,
         });
-        self.release_looks();
+        self.update_release();
         Reply::Done
     }
 
     /// A supervisor wants to restart a director for the release that is under way.
-    pub(crate) fn release_step(&mut self, name: &str, by: &str) -> Reply {
+    pub(crate) fn step_release(&mut self, name: &str, by: &str) -> Reply {
         let refused = |why: String| Reply::Refused(Refusal::Release(why));
         let Some(release) = self.release.clone().filter(Release::is_active) else {
             return refused("no release is under way".into());
@@ -195,7 +195,7 @@
         if let Some(permit) = &director.permit {
             return Reply::Permit(permit.clone());
         }
-        let by = format!("{} {}", release.plan.name, clipped(by));
+        let by = format!("{} {}", release.plan.name, truncated(by));
         match release.phase {
             Phase::Halted(why) => Reply::Refused(Refusal::Halted(why)),
             Phase::Forward => {
@@ -208,7 +208,7 @@
                 if wave != release.wave {
                     return refused(format!("wave {} is not yet there", wave + 1));
                 }
-                let reply = self.ask(name, &by);
+                let reply = self.request_permit(name, &by);
                 if let (Reply::Permit(_), Some(release)) = (&reply, &mut self.release) {
                     let former = (director.version, director.settings);
                     release.changed.entry(name.to_owned()).or_insert(ChangedDirector { wave, former });
@@ -221,14 +221,14 @@
                 if newest != Some(changed.wave) {
                     return refused(format!("wave {} goes back first", newest.unwrap_or(0) + 1));
                 }
-                self.ask(name, &by)
+                self.request_permit(name, &by)
             }
             Phase::Done | Phase::Returned => refused("no release is under way".into()),
         }
     }
 
     /// The leader's verdict on a watch.
-    pub(crate) fn release_passed(&mut self, watch: u64) {
+    pub(crate) fn pass_wave(&mut self, watch: u64) {
         let Some(release) = &mut self.release else { return };
         if !release.is_watched() || release.watches != watch {
             return; // of a watch that is over
@@ -241,13 +241,13 @@
             release.wave += 1;
         }
         let name = release.plan.name.clone();
-        let told = if last { "; it is done" } else { "" };
-        self.record("", format!("release {name}: wave {} passed{told}", wave + 1));
-        self.release_looks();
+        let suffix = if last { "; it is done" } else { "" };
+        self.record("", format!("release {name}: wave {} passed{suffix}", wave + 1));
+        self.update_release();
     }
 
     /// Halts a release that moves; one that goes back goes on.
-    pub(crate) fn release_halt(&mut self, why: String) {
+    pub(crate) fn halt_release(&mut self, why: String) {
         let Some(release) = self.release.as_mut().filter(|r| r.phase == Phase::Forward) else { return };
         release.phase = Phase::Halted(why.clone());
         release.watched_since = None;
@@ -255,57 +255,58 @@
         self.record("", format!("release {name} halted: {why}"));
     }
 
-    pub(crate) fn release_resume(&mut self, by: &str) -> Reply {
+    pub(crate) fn resume_release(&mut self, by: &str) -> Reply {
         let Some(release) = self.release.as_mut().filter(|r| matches!(r.phase, Phase::Halted(_))) else {
             return Reply::Refused(Refusal::Release("no release is halted".into()));
         };
         release.phase = Phase::Forward;
         let name = release.plan.name.clone();
-        self.record("", format!("release {name} resumed by {}", clipped(by)));
-        self.release_looks();
+        self.record("", format!("release {name} resumed by {}", truncated(by)));
+        self.update_release();
         Reply::Done
     }
 
-    pub(crate) fn release_back(&mut self, by: &str) -> Reply {
+    pub(crate) fn roll_back_release(&mut self, by: &str) -> Reply {
         let Some(release) = self.release.as_mut().filter(|r| r.is_active() || r.phase == Phase::Done) else {
             return Reply::Refused(Refusal::Release("there is no release to take back".into()));
         };
         release.phase = Phase::Back;
         release.watched_since = None;
         let name = release.plan.name.clone();
-        self.record("", format!("release {name} goes back, by {}", clipped(by)));
-        self.release_looks();
+        self.record("", format!("release {name} goes back, by {}", truncated(by)));
+        self.update_release();
         Reply::Done
     }
 
     /// What is seen of the directors moves the release: a wave that is changed is watched, one that went
     /// wrong halts, what is back is taken off.
-    pub(crate) fn release_looks(&mut self) {
+    pub(crate) fn update_release(&mut self) {
         let Some(release) = self.release.clone() else { return };
-        let serves = |name: &str| {
+        let serving = |name: &str| {
             let director = self.directors.get(name)?;
             (director.standing == Standing::Serving && director.permit.is_none()).then_some(director)
         };
         match release.phase {
             Phase::Forward => {
-                if let Some(why) = self.release_wrong(&release) {
-                    return self.release_halt(why);
+                if let Some(why) = self.release_fault(&release) {
+                    return self.halt_release(why);
                 }
-                let members = release.order.iter().take(release.until(release.wave));
+                let members = release.order.iter().take(release.directors_through(release.wave));
                 let ready =
-                    members.clone().all(|name| serves(name).is_some_and(|d| release.plan.is_applied_to(d)));
+                    members.clone().all(|name| serving(name).is_some_and(|d| release.plan.is_applied_to(d)));
                 if let Some(release) = self.release.as_mut().filter(|r| ready != r.watched_since.is_some()) {
                     release.watched_since = ready.then_some(self.now_ms);
                     release.watches += u64::from(ready);
                 }
             }
             Phase::Back => {
-                let back = |(name, c): &(&String, &ChangedDirector)| {
-                    serves(name).is_some_and(|d| (&d.version, &d.settings) == (&c.former.0, &c.former.1))
+                let is_restored = |(name, c): &(&String, &ChangedDirector)| {
+                    serving(name).is_some_and(|d| (&d.version, &d.settings) == (&c.former.0, &c.former.1))
                 };
-                let back: Vec<String> = release.changed.iter().filter(back).map(|(n, _)| n.clone()).collect();
+                let restored: Vec<String> =
+                    release.changed.iter().filter(is_restored).map(|(n, _)| n.clone()).collect();
                 let Some(release) = &mut self.release else { return };
-                back.iter().for_each(|name| drop(release.changed.remove(name)));
+                restored.iter().for_each(|name| drop(release.changed.remove(name)));
                 if release.changed.is_empty() {
                     release.phase = Phase::Returned;
                     let name = release.plan.name.clone();
@@ -317,32 +318,32 @@
     }
 
     /// A director is back that was let go by nobody.
-    pub(crate) fn release_restarted(&mut self, name: &str) {
+    pub(crate) fn halt_after_unplanned_restart(&mut self, name: &str) {
         if self.release.as_ref().is_some_and(|r| r.changed.contains_key(name)) {
-            self.release_halt(format!("{name}, changed in it, was lost and is back"));
+            self.halt_release(format!("{name}, changed in it, was lost and is back"));
         }
     }
 
-    fn release_wrong(&self, release: &Release) -> Option<String> {
+    fn release_fault(&self, release: &Release) -> Option<String> {
         let lost = |name: &&String| {
             self.directors.get(*name).is_some_and(|d| d.standing == Standing::Absent && d.permit.is_none())
         };
         if let Some(name) = release.changed.keys().find(lost) {
             return Some(format!("{name}, changed in it, was lost"));
         }
-        let others = self.directors.keys().filter(lost).count();
-        if others >= DOUBT_FROM {
-            return Some(format!("{others} directors are lost: who is there is in doubt"));
+        let lost_directors = self.directors.keys().filter(lost).count();
+        if lost_directors >= MIN_LOST_FOR_DOUBT {
+            return Some(format!("{lost_directors} directors are lost: who is there is in doubt"));
         }
         if let Some(why) = &self.halted {
             return Some(why.clone());
         }
-        let wrong = |(name, _): &(&String, &ChangedDirector)| {
+        let not_updated = |(name, _): &(&String, &ChangedDirector)| {
             self.directors.get(*name).is_some_and(|d| {
                 d.standing == Standing::Serving && d.permit.is_none() && !release.plan.is_applied_to(d)
             })
         };
-        let (name, _) = release.changed.iter().find(wrong)?;
+        let (name, _) = release.changed.iter().find(not_updated)?;
         Some(format!("{name} came back without what the release brings"))
     }
 }
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Directors known at most; the fleet's own bound is above what one log should carry.
-const DIRECTORS_MOST: usize = 2_000;
+const MAX_DIRECTORS: usize = 2_000;
 /// Lines of the record that are kept.
-const AUDIT_KEPT: usize = 128;
+const MAX_AUDIT_ENTRIES: usize = 128;
 /// The longest text taken from outside, bytes.
-const TEXT_MOST: usize = 64;
+const MAX_TEXT_BYTES: usize = 64;
 
 /// Leave to be out.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
@@ -77,19 +77,23 @@
     /// How long a streamer is cold.
     pub warm_up_ms: u64,
     /// When streamers were drained last.
-    pub last_streamers_ms: u64,
+    #[serde(rename = "last_streamers_ms")]
+    pub last_drain_ms: u64,
     /// The release, the last one where none is under way.
     pub release: Option<Release>,
     /// Why nothing is given; none: it goes on.
     pub halted: Option<String>,
     /// The last permit's number.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_permit: u64,
     /// When it was given.
-    pub last_ms: u64,
+    #[serde(rename = "last_ms")]
+    pub last_permit_ms: u64,
     /// The state's time.
     pub now_ms: u64,
     /// Lines of the record so far.
-    pub lines: u64,
+    #[serde(rename = "lines")]
+    pub audit_total: u64,
     /// The last of them.
     pub audit: VecDeque<AuditEntry>,
 }
@@ -117,92 +121,92 @@
     pub fn apply_command(&mut self, command: Command) -> Reply {
         match command {
             Command::Time { now_ms } => {
-                self.time(now_ms);
-                self.release_looks();
+                self.advance_time(now_ms);
+                self.update_release();
             }
             Command::Budgets(budgets) => {
                 if budgets.check().is_ok() && budgets != self.budgets {
-                    let told = format!(
+                    let message = format!(
                         "budgets: {} directors out, {} of a hall, {} ms between steps, {} ms at the longest",
                         budgets.directors, budgets.directors_of_hall, budgets.step_ms, budgets.longest_ms
                     );
                     self.budgets = budgets;
-                    self.record("", told);
+                    self.record("", message);
                 }
             }
             Command::Seen { name, hall, incarnation, standing, version, settings, now_ms } => {
-                self.time(now_ms);
+                self.advance_time(now_ms);
                 let before = self.directors.get(&name);
                 // Faster than the fleet finds it gone: its later life is all that tells of the crash.
-                let unasked = before.is_some_and(|d| {
+                let restarted_without_permit = before.is_some_and(|d| {
                     let back = d.standing == Standing::Serving && standing == Standing::Serving;
                     back && d.incarnation < incarnation && d.permit.is_none()
                 });
-                self.seen(&name, hall, incarnation, standing);
-                if unasked {
+                self.apply_director_seen(&name, hall, incarnation, standing);
+                if restarted_without_permit {
                     self.record(&name, "restarted without a permit, and is back".into());
-                    self.release_restarted(&name);
+                    self.halt_after_unplanned_restart(&name);
                 }
                 if let Some(d) = self.directors.get_mut(&name).filter(|d| d.incarnation == incarnation) {
-                    (d.version, d.settings) = (clipped(&version), clipped(&settings));
+                    (d.version, d.settings) = (truncated(&version), truncated(&settings));
                 }
-                self.release_looks();
+                self.update_release();
             }
             Command::ReleaseStart { plan, by, now_ms } => {
-                self.time(now_ms);
-                return self.release_start(plan, &by);
+                self.advance_time(now_ms);
+                return self.start_release(plan, &by);
             }
             Command::ReleaseStep { name, by, now_ms } => {
-                self.time(now_ms);
-                return self.release_step(&name, &by);
+                self.advance_time(now_ms);
+                return self.step_release(&name, &by);
             }
             Command::ReleasePassed { watch, now_ms } => {
-                self.time(now_ms);
-                self.release_passed(watch);
+                self.advance_time(now_ms);
+                self.pass_wave(watch);
             }
             Command::ReleaseHalt { why, now_ms } => {
-                self.time(now_ms);
-                self.release_halt(why.chars().take(4 * TEXT_MOST).collect());
+                self.advance_time(now_ms);
+                self.halt_release(why.chars().take(4 * MAX_TEXT_BYTES).collect());
             }
             Command::ReleaseResume { by, now_ms } => {
-                self.time(now_ms);
-                return self.release_resume(&by);
+                self.advance_time(now_ms);
+                return self.resume_release(&by);
             }
             Command::ReleaseBack { by, now_ms } => {
-                self.time(now_ms);
-                return self.release_back(&by);
+                self.advance_time(now_ms);
+                return self.roll_back_release(&by);
             }
             Command::Ask { name, by, now_ms } => {
-                self.time(now_ms);
-                return self.ask(&name, &by);
+                self.advance_time(now_ms);
+                return self.request_permit(&name, &by);
             }
             Command::Streamers { seen, warm_up_ms, now_ms } => {
-                self.streamers_seen(seen, warm_up_ms);
-                self.time(now_ms);
+                self.apply_listed_streamers(seen, warm_up_ms);
+                self.advance_time(now_ms);
             }
             Command::Drain { scope, by, now_ms } => {
-                self.time(now_ms);
-                return self.drain(&scope, &by);
+                self.advance_time(now_ms);
+                return self.drain_streamers(&scope, &by);
             }
             Command::Open { scope, by, now_ms } => {
-                self.time(now_ms);
-                self.open(&scope, &by);
+                self.advance_time(now_ms);
+                self.open_streamers(&scope, &by);
             }
-            Command::Return { name, number } => self.returned(&name, number),
+            Command::Return { name, number } => self.return_permit(&name, number),
             Command::Forget { name, by } => {
                 if self.directors.get(&name).is_some_and(|d| d.standing == Standing::Absent) {
                     self.directors.remove(&name);
-                    self.record(&name, format!("forgotten, on the word of {}", clipped(&by)));
+                    self.record(&name, format!("forgotten, on the word of {}", truncated(&by)));
                 }
                 if self.streamers.get(&name).is_some_and(|s| !s.up) {
                     self.streamers.remove(&name);
-                    self.record(&name, format!("streamer forgotten, on the word of {}", clipped(&by)));
+                    self.record(&name, format!("streamer forgotten, on the word of {}", truncated(&by)));
                 }
             }
-            Command::Halt { by } => self.halt(format!("by {}", clipped(&by))),
+            Command::Halt { by } => self.halt(format!("by {}", truncated(&by))),
             Command::Resume { by } => {
                 if self.halted.take().is_some() {
-                    self.record("", format!("resumed by {}", clipped(&by)));
+                    self.record("", format!("resumed by {}", truncated(&by)));
                 }
             }
         }
@@ -211,49 +215,49 @@
 
     /// Names of those that are out, of a hall or of the fleet.
     pub fn directors_out(&self, hall: Option<&str>) -> Vec<String> {
-        let counts = |d: &Director| d.is_out() && hall.is_none_or(|hall| d.hall == hall);
-        self.directors.iter().filter(|(_, d)| counts(d)).map(|(name, _)| name.clone()).collect()
+        let matches = |d: &Director| d.is_out() && hall.is_none_or(|hall| d.hall == hall);
+        self.directors.iter().filter(|(_, d)| matches(d)).map(|(name, _)| name.clone()).collect()
     }
 
     /// When something comes to pass by time alone, Unix milliseconds.
     pub fn next_deadline_ms(&self) -> Option<u64> {
         let permits = self.directors.values().filter_map(|d| d.permit.as_ref()).filter(|p| !p.overdue);
-        let late = permits.map(|p| p.at_ms.saturating_add(self.budgets.longest_ms)).min();
-        late.into_iter().chain(self.next_streamer_deadline_ms()).min()
+        let earliest_overdue = permits.map(|p| p.at_ms.saturating_add(self.budgets.longest_ms)).min();
+        earliest_overdue.into_iter().chain(self.next_streamer_deadline_ms()).min()
     }
 
-    fn time(&mut self, now_ms: u64) {
+    fn advance_time(&mut self, now_ms: u64) {
         self.now_ms = self.now_ms.max(now_ms);
-        let (now, longest) = (self.now_ms, self.budgets.longest_ms);
-        let mut late = Vec::new();
+        let (now, max_out_ms) = (self.now_ms, self.budgets.longest_ms);
+        let mut newly_overdue = Vec::new();
         for (name, director) in &mut self.directors {
             if let Some(permit) = &mut director.permit
                 && !permit.overdue
-                && permit.at_ms.saturating_add(longest) <= now
+                && permit.at_ms.saturating_add(max_out_ms) <= now
             {
                 permit.overdue = true; // it still counts as out: only proof frees it
-                late.push((name.clone(), permit.number));
+                newly_overdue.push((name.clone(), permit.number));
             }
         }
-        for (name, number) in late {
+        for (name, number) in newly_overdue {
             self.halt(format!("permit {number} of {name} is overdue"));
         }
-        self.streamers_time();
+        self.advance_streamer_time();
     }
 
-    fn seen(&mut self, name: &str, hall: String, incarnation: u64, standing: Standing) {
+    fn apply_director_seen(&mut self, name: &str, hall: String, incarnation: u64, standing: Standing) {
         let known = self.directors.get(name);
         // News of a former life changes nothing, and one that was never in service counts for nothing.
-        let former = known.is_some_and(|d| incarnation < d.incarnation);
-        let stranger = known.is_none() && standing == Standing::Absent;
-        if former || stranger || name.len() > TEXT_MOST || hall.len() > TEXT_MOST {
+        let stale = known.is_some_and(|d| incarnation < d.incarnation);
+        let unknown_absent = known.is_none() && standing == Standing::Absent;
+        if stale || unknown_absent || name.len() > MAX_TEXT_BYTES || hall.len() > MAX_TEXT_BYTES {
             return;
         }
-        if known.is_none() && self.directors.len() >= DIRECTORS_MOST {
+        if known.is_none() && self.directors.len() >= MAX_DIRECTORS {
             return self.record(name, "not taken in: too many directors are known".into());
         }
         let (version, settings) = Default::default();
-        let fresh = Director {
+        let new_director = Director {
             hall: hall.clone(),
             incarnation,
             standing,
@@ -262,16 +266,16 @@
             permit: None,
             refused: None,
         };
-        let director = self.directors.entry(name.to_owned()).or_insert(fresh);
-        let was = director.standing;
+        let director = self.directors.entry(name.to_owned()).or_insert(new_director);
+        let previous_standing = director.standing;
         director.hall = hall;
         director.incarnation = incarnation;
         director.standing = standing;
         // The proof: another life than the one that was let go serves.
-        let proven = |p: &Permit| standing == Standing::Serving && p.incarnation < incarnation;
-        let back = director.permit.take_if(|p| proven(p)).map(|p| p.number);
+        let proves_return = |p: &Permit| standing == Standing::Serving && p.incarnation < incarnation;
+        let released = director.permit.take_if(|p| proves_return(p)).map(|p| p.number);
         let held = director.permit.is_some();
-        match (back, was, standing) {
+        match (released, previous_standing, standing) {
             (Some(number), ..) => self.record(name, format!("back in service; permit {number} is free")),
             (None, Standing::Serving, Standing::Absent) if !held => {
                 self.record(name, "lost without a permit; counts as out".into());
@@ -281,17 +285,17 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, name: &str, by: &str) -> Reply {
-        match self.may_leave(name) {
+    pub(crate) fn request_permit(&mut self, name: &str, by: &str) -> Reply {
+        match self.check_permit(name) {
             Ok(Some(permit)) => Reply::Permit(permit),
             Ok(None) => {
-                self.last += 1;
-                self.last_ms = self.now_ms;
-                let (number, at_ms) = (self.last, self.now_ms);
+                self.last_permit += 1;
+                self.last_permit_ms = self.now_ms;
+                let (number, at_ms) = (self.last_permit, self.now_ms);
                 let Some(director) = self.directors.get_mut(name) else {
                     return Reply::Refused(Refusal::Unknown);
                 };
-                let (incarnation, by, overdue) = (director.incarnation, clipped(by), false);
+                let (incarnation, by, overdue) = (director.incarnation, truncated(by), false);
                 let permit = Permit { number, incarnation, at_ms, by, overdue };
                 director.permit = Some(permit.clone());
                 director.refused = None;
@@ -300,11 +304,11 @@
                 Reply::Permit(permit)
             }
             Err(refusal) => {
-                let told = format!("no permit for {}: {refusal}", clipped(by));
-                let waits = matches!(refusal, Refusal::TooSoon(_)); // tells another figure each time
-                let fresh = self.directors.get_mut(name).map(|d| d.refused.replace(told.clone()));
-                if !waits && fresh.is_none_or(|last| last.as_deref() != Some(&told)) {
-                    self.record(name, told);
+                let message = format!("no permit for {}: {refusal}", truncated(by));
+                let time_dependent = matches!(refusal, Refusal::TooSoon(_)); // tells another figure each time
+                let previous = self.directors.get_mut(name).map(|d| d.refused.replace(message.clone()));
+                if !time_dependent && previous.is_none_or(|last| last.as_deref() != Some(&message)) {
+                    self.record(name, message);
                 }
                 Reply::Refused(refusal)
             }
@@ -313,7 +317,7 @@
 
     /// Whether one more may be out. The permit that it has already, where it has one: asking is safe to
     /// repeat.
-    fn may_leave(&self, name: &str) -> Result<Option<Permit>, Refusal> {
+    fn check_permit(&self, name: &str) -> Result<Option<Permit>, Refusal> {
         let director = self.directors.get(name).ok_or(Refusal::Unknown)?;
         if let Some(permit) = &director.permit {
             return Ok(Some(permit.clone()));
@@ -332,14 +336,14 @@
         if of_hall.len() >= budgets.directors_of_hall as usize {
             return Err(Refusal::Hall(director.hall.clone(), of_hall, budgets.directors_of_hall));
         }
-        let next = self.last_ms.saturating_add(budgets.step_ms);
-        if self.last > 0 && next > self.now_ms {
-            return Err(Refusal::TooSoon(next - self.now_ms));
+        let next_allowed_ms = self.last_permit_ms.saturating_add(budgets.step_ms);
+        if self.last_permit > 0 && next_allowed_ms > self.now_ms {
+            return Err(Refusal::TooSoon(next_allowed_ms - self.now_ms));
         }
         Ok(None)
     }
 
-    fn returned(&mut self, name: &str, number: u64) {
+    fn return_permit(&mut self, name: &str, number: u64) {
         let Some(director) = self.directors.get_mut(name) else { return };
         // Only by the life that holds it, and only while it serves: nobody else can say that it stays.
         let held = |p: &mut Permit| p.number == number && p.incarnation == director.incarnation;
@@ -356,14 +360,14 @@
     }
 
     pub(crate) fn record(&mut self, name: &str, what: String) {
-        self.lines += 1;
+        self.audit_total += 1;
         self.audit.push_back(AuditEntry { at_ms: self.now_ms, name: name.to_owned(), what });
-        while self.audit.len() > AUDIT_KEPT {
+        while self.audit.len() > MAX_AUDIT_ENTRIES {
             self.audit.pop_front();
         }
     }
 }
 
-pub(crate) fn clipped(text: &str) -> String {
-    text.chars().take(TEXT_MOST / 4).collect()
+pub(crate) fn truncated(text: &str) -> String {
+    text.chars().take(MAX_TEXT_BYTES / 4).collect()
 }
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -48,13 +48,13 @@
 
 /// A setting that can't be, with the key it stands under.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{key} is {found}; {least} to {most} is allowed")]
+#[error("{key} is {value}; {min} to {max} is allowed")]
 pub struct SettingError {
     /// The key within the block.
     pub key: String,
-    found: u64,
-    least: u64,
-    most: u64,
+    value: u64,
+    min: u64,
+    max: u64,
 }
 
 impl DisruptionBudgets {
@@ -72,8 +72,8 @@
             ("streamers_longest_ms", self.streamers_longest_ms, 1_000, 604_800_000),
             ("ask_ms", self.ask_ms, 0, 60_000),
         ];
-        match all.into_iter().find(|(_, found, least, most)| !(least..=most).contains(&found)) {
-            Some((key, found, least, most)) => Err(SettingError { key: key.into(), found, least, most }),
+        match all.into_iter().find(|(_, value, min, max)| !(min..=max).contains(&value)) {
+            Some((key, value, min, max)) => Err(SettingError { key: key.into(), value, min, max }),
             None => Ok(()),
         }
     }
--- a/crates/rollout/src/streamers.rs
+++ b/crates/rollout/src/streamers.rs
@@ -1,14 +1,14 @@
 //! The streamers' part of the agreed state: which are known, which are drained by which permit, and the way
 //! back. A drained one is free again only when it was opened, is in service on the list and past its warm-up.
 use crate::command::{DrainScope, ListedStreamer, Refusal, Reply};
-use crate::rollout::{Rollout, clipped};
+use crate::rollout::{Rollout, truncated};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 /// Streamers known at most.
-const STREAMERS_MOST: usize = 4_000;
+const MAX_STREAMERS: usize = 4_000;
 /// Names that a refusal tells at most.
-const TOLD_MOST: usize = 8;
+const MAX_NAMES_IN_REFUSAL: usize = 8;
 
 /// Leave to be out for a streamer.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
@@ -60,7 +60,7 @@
         self.streamers.iter().filter(|(_, s)| s.is_out()).map(|(name, _)| name.clone()).collect()
     }
 
-    fn members(&self, scope: &DrainScope) -> Vec<String> {
+    fn streamers_in_scope(&self, scope: &DrainScope) -> Vec<String> {
         let fits = |name: &String, s: &Streamer| match scope {
             DrainScope::Streamer(one) => name == one,
             DrainScope::Rack(rack) => s.rack == *rack,
@@ -69,55 +69,56 @@
         self.streamers.iter().filter(|(name, s)| fits(name, s)).map(|(name, _)| name.clone()).collect()
     }
 
-    pub(crate) fn streamers_seen(&mut self, seen: Vec<ListedStreamer>, warm_up_ms: u64) {
+    pub(crate) fn apply_listed_streamers(&mut self, seen: Vec<ListedStreamer>, warm_up_ms: u64) {
         self.warm_up_ms = warm_up_ms;
-        for one in seen {
-            let known = self.streamers.get(&one.name);
-            if one.gone && known.is_some_and(|s| s.permit.is_none()) {
+        for entry in seen {
+            let known = self.streamers.get(&entry.name);
+            if entry.gone && known.is_some_and(|s| s.permit.is_none()) {
                 // The platform took it out for good; its permit, where it has one, wants a person's word.
-                self.streamers.remove(&one.name);
+                self.streamers.remove(&entry.name);
                 continue;
             }
-            if known.is_none() && (one.gone || self.streamers.len() >= STREAMERS_MOST) {
+            if known.is_none() && (entry.gone || self.streamers.len() >= MAX_STREAMERS) {
                 continue;
             }
-            let streamer = self.streamers.entry(one.name).or_default();
-            (streamer.hall, streamer.rack, streamer.kb) = (one.hall, one.rack, one.kb);
-            streamer.up = one.up && !one.gone;
+            let streamer = self.streamers.entry(entry.name).or_default();
+            (streamer.hall, streamer.rack, streamer.kb) = (entry.hall, entry.rack, entry.kb);
+            streamer.up = entry.up && !entry.gone;
         }
     }
 
-    pub(crate) fn drain(&mut self, scope: &DrainScope, by: &str) -> Reply {
-        let members = self.members(scope);
-        let fresh: Vec<String> = members
+    pub(crate) fn drain_streamers(&mut self, scope: &DrainScope, by: &str) -> Reply {
+        let members = self.streamers_in_scope(scope);
+        let to_drain: Vec<String> = members
             .iter()
             .filter(|name| self.streamers.get(*name).is_some_and(|s| !s.is_closed()))
             .cloned()
             .collect();
-        let held = |name: &String| self.streamers.get(name)?.permit.as_ref().map(|p| p.number);
-        if let (Some(number), true) = (members.first().and_then(held), fresh.is_empty()) {
+        let permit_number = |name: &String| self.streamers.get(name)?.permit.as_ref().map(|p| p.number);
+        if let (Some(number), true) = (members.first().and_then(permit_number), to_drain.is_empty()) {
             return Reply::Drained { number, names: members }; // asking again is safe
         }
-        if let Err(refusal) = self.may_drain(&members, &fresh) {
-            let told = format!("no drain of {scope} for {}: {refusal}", clipped(by));
-            if !matches!(refusal, Refusal::TooSoon(_)) && self.audit.back().is_none_or(|a| a.what != told) {
-                self.record("", told);
+        if let Err(refusal) = self.check_drain(&members, &to_drain) {
+            let message = format!("no drain of {scope} for {}: {refusal}", truncated(by));
+            if !matches!(refusal, Refusal::TooSoon(_)) && self.audit.back().is_none_or(|a| a.what != message)
+            {
+                self.record("", message);
             }
             return Reply::Refused(refusal);
         }
-        self.last += 1;
-        self.last_streamers_ms = self.now_ms;
-        let (number, at_ms) = (self.last, self.now_ms);
-        for name in &fresh {
-            let permit = StreamerPermit { number, at_ms, by: clipped(by), overdue: false, opened_ms: None };
+        self.last_permit += 1;
+        self.last_drain_ms = self.now_ms;
+        let (number, at_ms) = (self.last_permit, self.now_ms);
+        for name in &to_drain {
+            let permit = StreamerPermit { number, at_ms, by: truncated(by), overdue: false, opened_ms: None };
             self.streamers.entry(name.clone()).and_modify(|s| s.permit = Some(permit));
-            self.record(name, format!("drained by permit {number} for {}", clipped(by)));
+            self.record(name, format!("drained by permit {number} for {}", truncated(by)));
         }
-        Reply::Drained { number, names: fresh }
+        Reply::Drained { number, names: to_drain }
     }
 
     /// Whether these may be out as well. All of them or none.
-    fn may_drain(&self, members: &[String], fresh: &[String]) -> Result<(), Refusal> {
+    fn check_drain(&self, members: &[String], to_drain: &[String]) -> Result<(), Refusal> {
         if members.is_empty() {
             return Err(Refusal::Unknown);
         }
@@ -125,19 +126,21 @@
             return Err(Refusal::Halted(why.clone()));
         }
         let budgets = &self.budgets;
-        let mut after = self.streamers_out();
-        after.extend(fresh.iter().cloned());
-        let told = |names: &BTreeSet<String>| names.iter().take(TOLD_MOST).cloned().collect::<Vec<_>>();
-        if after.len() > budgets.streamers as usize {
+        let mut out_after = self.streamers_out();
+        out_after.extend(to_drain.iter().cloned());
+        let listed =
+            |names: &BTreeSet<String>| names.iter().take(MAX_NAMES_IN_REFUSAL).cloned().collect::<Vec<_>>();
+        if out_after.len() > budgets.streamers as usize {
             return Err(Refusal::Streamers(
-                after.len() as u32,
-                told(&self.streamers_out()),
+                out_after.len() as u32,
+                listed(&self.streamers_out()),
                 budgets.streamers,
             ));
         }
-        let of = |what: String, percent: u32, fits: &dyn Fn(&Streamer) -> bool| {
+        let check_share = |what: String, percent: u32, fits: &dyn Fn(&Streamer) -> bool| {
             let kb = |out: bool| -> u64 {
-                let counts = |(name, s): &(&String, &Streamer)| fits(s) && (!out || after.contains(*name));
+                let counts =
+                    |(name, s): &(&String, &Streamer)| fits(s) && (!out || out_after.contains(*name));
                 self.streamers.iter().filter(counts).map(|(_, s)| s.kb).sum()
             };
             let (out, all) = (kb(true), kb(false));
@@ -147,23 +150,26 @@
             }
             Ok(())
         };
-        of("the fleet".into(), budgets.streamers_percent, &|_| true)?;
-        let places: BTreeSet<(&str, u32)> =
-            fresh.iter().filter_map(|n| self.streamers.get(n)).map(|s| (s.hall.as_str(), s.rack)).collect();
-        for (hall, rack) in places {
-            of(format!("hall {hall:?}"), budgets.hall_percent, &|s| s.hall == hall)?;
-            of(format!("rack {rack}"), budgets.rack_percent, &|s| s.rack == rack)?;
+        check_share("the fleet".into(), budgets.streamers_percent, &|_| true)?;
+        let locations: BTreeSet<(&str, u32)> = to_drain
+            .iter()
+            .filter_map(|n| self.streamers.get(n))
+            .map(|s| (s.hall.as_str(), s.rack))
+            .collect();
+        for (hall, rack) in locations {
+            check_share(format!("hall {hall:?}"), budgets.hall_percent, &|s| s.hall == hall)?;
+            check_share(format!("rack {rack}"), budgets.rack_percent, &|s| s.rack == rack)?;
         }
-        let next = self.last_streamers_ms.saturating_add(budgets.step_ms);
-        if self.last_streamers_ms > 0 && next > self.now_ms {
-            return Err(Refusal::TooSoon(next - self.now_ms));
+        let next_allowed_ms = self.last_drain_ms.saturating_add(budgets.step_ms);
+        if self.last_drain_ms > 0 && next_allowed_ms > self.now_ms {
+            return Err(Refusal::TooSoon(next_allowed_ms - self.now_ms));
         }
         Ok(())
     }
 
-    pub(crate) fn open(&mut self, scope: &DrainScope, by: &str) {
+    pub(crate) fn open_streamers(&mut self, scope: &DrainScope, by: &str) {
         let now = self.now_ms;
-        for name in self.members(scope) {
+        for name in self.streamers_in_scope(scope) {
             let Some(streamer) = self.streamers.get_mut(&name).filter(|s| s.is_closed()) else { continue };
             streamer.opened_ms = now;
             if let Some(permit) = &mut streamer.permit {
@@ -171,45 +177,45 @@
                 let number = permit.number;
                 self.record(
                     &name,
-                    format!("opened, cold, by {}; permit {number} is kept till it is warm", clipped(by)),
+                    format!("opened, cold, by {}; permit {number} is kept till it is warm", truncated(by)),
                 );
             }
         }
     }
 
     /// What time alone brings: those that are warm are free, those that are late halt all.
-    pub(crate) fn streamers_time(&mut self) {
-        let (now, warm, longest) = (self.now_ms, self.warm_up_ms, self.budgets.streamers_longest_ms);
-        let (mut free, mut late) = (Vec::new(), Vec::new());
+    pub(crate) fn advance_streamer_time(&mut self) {
+        let (now, warm_up_ms, max_out_ms) = (self.now_ms, self.warm_up_ms, self.budgets.streamers_longest_ms);
+        let (mut released, mut newly_overdue) = (Vec::new(), Vec::new());
         for (name, streamer) in &mut self.streamers {
             let up = streamer.up;
             let Some(permit) = &mut streamer.permit else { continue };
-            let warmed = permit.opened_ms.is_some_and(|at| at.saturating_add(warm) <= now);
+            let warmed = permit.opened_ms.is_some_and(|at| at.saturating_add(warm_up_ms) <= now);
             if up && warmed {
-                free.push((name.clone(), permit.number));
-            } else if !permit.overdue && permit.at_ms.saturating_add(longest) <= now {
+                released.push((name.clone(), permit.number));
+            } else if !permit.overdue && permit.at_ms.saturating_add(max_out_ms) <= now {
                 permit.overdue = true;
-                late.push((name.clone(), permit.number));
+                newly_overdue.push((name.clone(), permit.number));
             }
         }
-        for (name, number) in free {
+        for (name, number) in released {
             self.streamers.entry(name.clone()).and_modify(|s| s.permit = None);
             self.record(&name, format!("warm and in service; permit {number} is free"));
         }
-        for (name, number) in late {
+        for (name, number) in newly_overdue {
             self.halt(format!("permit {number} of streamer {name} is overdue"));
         }
     }
 
     /// When something comes to pass for a streamer by time alone, Unix milliseconds.
     pub(crate) fn next_streamer_deadline_ms(&self) -> Option<u64> {
-        let of = |s: &Streamer| {
+        let next_deadline = |s: &Streamer| {
             let permit = s.permit.as_ref()?;
             let warm = permit.opened_ms.filter(|_| s.up).map(|at| at.saturating_add(self.warm_up_ms));
             let late =
                 (!permit.overdue).then(|| permit.at_ms.saturating_add(self.budgets.streamers_longest_ms));
             warm.into_iter().chain(late).min()
         };
-        self.streamers.values().filter_map(of).min()
+        self.streamers.values().filter_map(next_deadline).min()
     }
 }
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -6,15 +6,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A director is proven back after so long in service: its first second of set-ups.
-const PROVEN_MS: u64 = 1_000;
+const PROVEN_BACK_MS: u64 = 1_000;
 /// One that is not seen in service is called absent after so long: a restart of the view is no loss.
-const ABSENT_MS: u64 = 300;
+const ABSENT_AFTER_MS: u64 = 300;
 /// A proposal that had no effect is made again after so long.
-const AGAIN_MS: u64 = 1_000;
+const REPROPOSE_MS: u64 = 1_000;
 /// Proposals of one look at most.
-const COMMANDS_MOST: usize = 32;
+const MAX_COMMANDS_PER_CALL: usize = 32;
 /// Streamers in one command at most.
-const STREAMERS_MOST: usize = 64;
+const MAX_STREAMERS_PER_COMMAND: usize = 64;
 
 /// A director as the leader's view has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Copy)]
-struct Seen {
+struct ObservedState {
     incarnation: u64,
     serving: bool,
     since_ms: u64,
@@ -45,11 +45,11 @@
 /// The leader's watch.
 #[derive(Default)]
 pub struct Reconciler {
-    seen: BTreeMap<String, Seen>,
+    observed: BTreeMap<String, ObservedState>,
     proposed: BTreeMap<String, (Standing, u64, u64)>,
-    budgets_at: u64,
-    time_at: u64,
-    streamers_at: u64,
+    budgets_proposed_ms: u64,
+    time_proposed_ms: u64,
+    streamers_proposed_ms: u64,
 }
 
 impl Reconciler {
@@ -66,21 +66,21 @@
         state: &Rollout,
         budgets: &DisruptionBudgets,
         members: &[Member],
-        sure: bool,
+        view_is_reliable: bool,
     ) -> Vec<Command> {
         let mut commands = Vec::new();
-        if state.budgets != *budgets && self.budgets_at.saturating_add(AGAIN_MS) <= now_ms {
-            self.budgets_at = now_ms;
+        if state.budgets != *budgets && self.budgets_proposed_ms.saturating_add(REPROPOSE_MS) <= now_ms {
+            self.budgets_proposed_ms = now_ms;
             commands.push(Command::Budgets(budgets.clone()));
         }
         let due = state.next_deadline_ms().is_some_and(|at| at <= now_ms);
-        if due && self.time_at.saturating_add(AGAIN_MS) <= now_ms {
-            self.time_at = now_ms;
+        if due && self.time_proposed_ms.saturating_add(REPROPOSE_MS) <= now_ms {
+            self.time_proposed_ms = now_ms;
             commands.push(Command::Time { now_ms });
         }
-        let viewed: BTreeSet<&str> = members.iter().map(|m| m.name.as_str()).collect();
-        let gone = state.directors.iter().filter(|(name, _)| !viewed.contains(name.as_str()));
-        let gone = gone.map(|(name, known)| Member {
+        let in_view: BTreeSet<&str> = members.iter().map(|m| m.name.as_str()).collect();
+        let missing = state.directors.iter().filter(|(name, _)| !in_view.contains(name.as_str()));
+        let missing = missing.map(|(name, known)| Member {
             name: name.clone(),
             hall: known.hall.clone(),
             incarnation: 0,
@@ -89,12 +89,12 @@
             version: String::new(),
             settings: String::new(),
         });
-        for member in members.iter().cloned().chain(gone) {
+        for member in members.iter().cloned().chain(missing) {
             // The rest is looked at the next time: what is not proposed must not be noted as proposed.
-            if commands.len() >= COMMANDS_MOST {
+            if commands.len() >= MAX_COMMANDS_PER_CALL {
                 break;
             }
-            commands.extend(self.member(now_ms, state, member, sure));
+            commands.extend(self.reconcile_member(now_ms, state, member, view_is_reliable));
         }
         commands
     }
@@ -107,7 +107,7 @@
         seen: Vec<ListedStreamer>,
         warm_up_ms: u64,
     ) -> Option<Command> {
-        if self.streamers_at.saturating_add(AGAIN_MS) > now_ms {
+        if self.streamers_proposed_ms.saturating_add(REPROPOSE_MS) > now_ms {
             return None;
         }
         let differs = |s: &ListedStreamer| match state.streamers.get(&s.name) {
@@ -117,28 +117,35 @@
             }
             None => !s.gone,
         };
-        let seen: Vec<ListedStreamer> = seen.into_iter().filter(differs).take(STREAMERS_MOST).collect();
+        let seen: Vec<ListedStreamer> =
+            seen.into_iter().filter(differs).take(MAX_STREAMERS_PER_COMMAND).collect();
         if seen.is_empty() && (state.warm_up_ms == warm_up_ms || state.streamers.is_empty()) {
             return None;
         }
-        self.streamers_at = now_ms;
+        self.streamers_proposed_ms = now_ms;
         Some(Command::Streamers { seen, warm_up_ms, now_ms })
     }
 
-    fn member(&mut self, now_ms: u64, state: &Rollout, member: Member, sure: bool) -> Option<Command> {
+    fn reconcile_member(
+        &mut self,
+        now_ms: u64,
+        state: &Rollout,
+        member: Member,
+        view_is_reliable: bool,
+    ) -> Option<Command> {
         let Member { name, hall, incarnation, serving, in_fleet, version, settings } = member;
-        let fresh = Seen { incarnation, serving, since_ms: now_ms };
-        let seen = self.seen.entry(name.clone()).or_insert(fresh);
+        let current = ObservedState { incarnation, serving, since_ms: now_ms };
+        let seen = self.observed.entry(name.clone()).or_insert(current);
         if (seen.incarnation, seen.serving) != (incarnation, serving) {
-            *seen = fresh;
+            *seen = current;
         }
-        let for_ms = now_ms.saturating_sub(seen.since_ms);
+        let unchanged_for_ms = now_ms.saturating_sub(seen.since_ms);
         let known = state.directors.get(&name);
         let standing = match (serving, in_fleet) {
-            (true, _) if for_ms >= PROVEN_MS => Standing::Serving,
+            (true, _) if unchanged_for_ms >= PROVEN_BACK_MS => Standing::Serving,
             // A later life that starts, or one that says that it leaves.
             (false, true) => Standing::Absent,
-            (false, false) if sure && for_ms >= ABSENT_MS => Standing::Absent,
+            (false, false) if view_is_reliable && unchanged_for_ms >= ABSENT_AFTER_MS => Standing::Absent,
             _ => return None,
         };
         let incarnation = incarnation.max(known.map_or(0, |d| d.incarnation));
@@ -150,18 +157,19 @@
             (Some(d), false) => (d.version.clone(), d.settings.clone()),
             _ => (version, settings),
         };
-        let same = |d: &crate::rollout::Director| {
+        let already_agreed = |d: &crate::rollout::Director| {
             (d.standing, d.incarnation, &d.hall) == (standing, incarnation, &hall)
                 && (&d.version, &d.settings) == (&version, &settings)
         };
-        if known.is_some_and(same) {
+        if known.is_some_and(already_agreed) {
             return None;
         }
         let proposed = self.proposed.get(&name).copied();
-        let again = |(s, i, at): (Standing, u64, u64)| {
-            (s, i) != (standing, incarnation) || at.saturating_add(AGAIN_MS) <= now_ms
+        let may_propose = |(proposed_standing, proposed_incarnation, at): (Standing, u64, u64)| {
+            (proposed_standing, proposed_incarnation) != (standing, incarnation)
+                || at.saturating_add(REPROPOSE_MS) <= now_ms
         };
-        if !proposed.is_none_or(again) {
+        if !proposed.is_none_or(may_propose) {
             return None;
         }
         self.proposed.insert(name.clone(), (standing, incarnation, now_ms));
--- a/crates/rollout/tests/permits.rs
+++ b/crates/rollout/tests/permits.rs
@@ -73,7 +73,7 @@
 
 fn written(rollout: &Rollout) -> Vec<u8> {
     let mut rollout = rollout.clone();
-    rollout.lines = 0;
+    rollout.audit_total = 0;
     rollout.directors.values_mut().for_each(|d| d.refused = None);
     rollout.audit.clear(); // tells of the past, and would make every path a state of its own
     rollout.snapshot()
@@ -95,21 +95,21 @@
             };
             (0..DIRECTORS).filter(counts).count()
         };
-        let before = (out(&rollout, state), rollout.last);
+        let before = (out(&rollout, state), rollout.last_permit);
         if self.0 == Plant::CountOnlyPermits {
             let mut blind = rollout.clone();
             blind.directors.values_mut().for_each(|d| d.standing = Standing::Serving);
             if let Reply::Permit(permit) = blind.apply(command)
-                && permit.number > rollout.last
+                && permit.number > rollout.last_permit
             {
-                (rollout.last, rollout.last_ms) = (blind.last, blind.last_ms);
+                (rollout.last_permit, rollout.last_permit_ms) = (blind.last_permit, blind.last_permit_ms);
                 for (name, director) in blind.directors {
                     rollout.directors.entry(name).and_modify(|d| d.permit = director.permit);
                 }
             }
         }
         rollout.apply(command);
-        state.broken |= rollout.last > before.1 && before.0 + 1 > BUDGET;
+        state.broken |= rollout.last_permit > before.1 && before.0 + 1 > BUDGET;
         match self.0 {
             Plant::FreeOnExpiry => {
                 rollout.directors.values_mut().for_each(|d| drop(d.permit.take_if(|p| p.overdue)));
@@ -294,10 +294,11 @@
             Property::always("none given beside what is known to be out", |_, s: &State| !s.broken),
             Property::sometimes("one leaves by permit and is back", |_, state: &State| {
                 let agreed = read(state);
-                agreed.last > 0 && agreed.directors.values().all(|d| !d.is_out() && agreed.halted.is_none())
+                agreed.last_permit > 0
+                    && agreed.directors.values().all(|d| !d.is_out() && agreed.halted.is_none())
             }),
             Property::sometimes("a second permit is given after the first is free", |_, state: &State| {
-                read(state).last == 2
+                read(state).last_permit == 2
             }),
         ]
     }
--- a/src/net/agreed/mod.rs
+++ b/src/net/agreed/mod.rs
@@ -366,11 +366,11 @@
         if !entries.is_empty() {
             shared.inputs.push(Input::List { scope: ListScope::Delta, entries });
         }
-        let fresh = rollout.lines.saturating_sub(self.lines).min(rollout.audit.len() as u64) as usize;
+        let fresh = rollout.audit_total.saturating_sub(self.lines).min(rollout.audit.len() as u64) as usize;
         for line in rollout.audit.iter().skip(rollout.audit.len() - fresh) {
             info!(shared.log, "rollout"; "at_us" => shared.now, "agreed_ms" => line.at_ms,
                 "member" => &line.name, "what" => &line.what);
         }
-        self.lines = rollout.lines;
+        self.lines = rollout.audit_total;
     }
 }
