--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -1,29 +1,29 @@
-//! What the agreed state is told, and what it answers. Times are Unix milliseconds of whoever led then; the
-//! state's own time is the latest that it was told and never goes back.
+//! Commands of the replicated state and its replies. Times are Unix milliseconds by the clock of the leader
+//! at that time; the state's own time is the latest one received and never goes back.
 use crate::release::ReleasePlan;
 use crate::rollout::Permit;
 use crate::settings::DisruptionBudgets;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How the fleet sees a director.
+/// Whether the fleet sees a director in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
-    /// It serves, and passed its first second of doing so.
+    /// It has been in service for at least a second.
     Serving,
-    /// It is lost, left, or not there yet.
+    /// It is lost, has left, or has not started yet.
     Absent,
 }
 
-/// Which streamers.
+/// The streamers that a drain or an undrain covers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum DrainScope {
-    /// One, by its name on the list.
+    /// One streamer, by its name on the list.
     Streamer(String),
-    /// All of a rack.
+    /// All streamers of a rack.
     Rack(u32),
-    /// All of a hall.
+    /// All streamers of a hall.
     Hall(String),
 }
 
@@ -37,178 +37,178 @@
     }
 }
 
-/// A streamer as the leader's list has it.
+/// A streamer as it stands on the leader's list of streamers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ListedStreamer {
-    /// Its name on the list.
+    /// Name on the list.
     pub name: String,
-    /// Its hall.
+    /// Hall of the member.
     pub hall: String,
-    /// Its rack.
+    /// Rack of the streamer.
     pub rack: u32,
-    /// Its link, kB a second.
+    /// Link capacity, kB/s.
     pub kb: u64,
-    /// It is in service.
+    /// Whether it is in service.
     pub up: bool,
-    /// The platform took it out for good.
+    /// Whether the platform removed it permanently.
     pub gone: bool,
 }
 
-/// A command, as an entry of the log carries it.
+/// A command to the replicated state, carried by a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Command {
-    /// Time is now at least so late.
+    /// Advances the state's time.
     Time {
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// Other budgets are in force.
+    /// Puts other budgets in force.
     Budgets(DisruptionBudgets),
-    /// What the leader's view says of a director.
+    /// Reports a director as the leader's membership view has it.
     Seen {
-        /// Who.
+        /// Name of the director.
         name: String,
-        /// Its hall.
+        /// Hall of the member.
         hall: String,
-        /// The life that is seen.
+        /// Incarnation that was observed.
         incarnation: u64,
-        /// How.
+        /// Whether it is in service.
         standing: Standing,
-        /// The program's version that it runs.
+        /// Version of the program that it runs.
         version: String,
-        /// Digest of its settings, hexadecimal.
+        /// Digest of its settings, in hexadecimal.
         settings: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// A director wants to leave, or is wanted to.
+    /// Requests a permit for a director to leave, on its own behalf or an operator's.
     Ask {
-        /// Who leaves.
+        /// Name of the director that leaves.
         name: String,
-        /// Who asked, and why, for the record.
+        /// Who requested it, and why, for the audit log.
         by: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// The holder of a permit stays after all.
+    /// Returns a permit whose holder stays in service after all.
     Return {
-        /// Who.
+        /// Name of the director.
         name: String,
-        /// The permit.
+        /// Permit number.
         number: u64,
     },
-    /// A director that is gone for good counts no longer.
+    /// Removes a director or streamer that is gone permanently, so that it no longer counts as out.
     Forget {
-        /// Who.
+        /// Name of the director.
         name: String,
-        /// Who says so.
+        /// Who issued the command.
         by: String,
     },
-    /// Nothing is given until a person resumes.
+    /// Grants no more permits until an operator resumes.
     Halt {
-        /// Who says so.
+        /// Who issued the command.
         by: String,
     },
-    /// It goes on.
+    /// Resumes after a halt.
     Resume {
-        /// Who says so.
+        /// Who issued the command.
         by: String,
     },
-    /// What the leader's list says of streamers.
+    /// Reports streamers as the leader's list has them.
     Streamers {
-        /// Those of whom the state says something else.
+        /// The streamers that differ from the state.
         seen: Vec<ListedStreamer>,
-        /// How long a streamer is cold, milliseconds.
+        /// Duration of a streamer's warm-up, milliseconds.
         warm_up_ms: u64,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// No new session is to go to these.
+    /// Drains streamers: no new session is placed on them.
     Drain {
-        /// Which.
+        /// The streamers.
         scope: DrainScope,
-        /// Who asked.
+        /// Who requested it.
         by: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// A release begins.
+    /// Starts a release.
     ReleaseStart {
-        /// What and how.
+        /// The plan of the release.
         plan: ReleasePlan,
-        /// Who says so.
+        /// Who issued the command.
         by: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// A supervisor wants to restart a director for the release.
+    /// Requests a permit for a supervisor to restart a director as part of the release.
     ReleaseStep {
-        /// Which director.
+        /// Name of the director.
         name: String,
-        /// Who asks.
+        /// Who requests it.
         by: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// The leader found a wave as good as the unchanged.
+    /// Reports that the watched wave passed the leader's comparison with the unchanged directors.
     ReleasePassed {
-        /// The watch that it judged.
+        /// Number of the watch ([`Release::watches`](crate::Release::watches)) that passed.
         watch: u64,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// The release moves on no further.
+    /// Halts the release.
     ReleaseHalt {
-        /// Why, or who says so.
+        /// The reason, or who issued the command.
         why: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// It goes on.
+    /// Resumes after a halt.
     ReleaseResume {
-        /// Who says so.
+        /// Who issued the command.
         by: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// What was changed is taken back.
+    /// Rolls the release back.
     ReleaseBack {
-        /// Who says so.
+        /// Who issued the command.
         by: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
-    /// Sessions may go there again, as to cold ones.
+    /// Reopens drained streamers: new sessions are placed on them as on cold streamers.
     Open {
-        /// Which.
+        /// The streamers.
         scope: DrainScope,
-        /// Who says so.
+        /// Who issued the command.
         by: String,
         /// Unix milliseconds.
         now_ms: u64,
     },
 }
 
-/// Why there is no permit.
+/// Why a request was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Refusal {
-    /// The fleet does not know this director.
+    /// The fleet does not know the director, or no streamer is in the scope.
     Unknown,
-    /// It is not in service itself.
+    /// The director is not in service itself.
     Absent,
-    /// Nothing is given: why.
+    /// Permits are halted, for this reason.
     Halted(String),
-    /// The fleet's budget: out, by these, and the budget.
+    /// The fleet's budget is used up: the directors that are out, and the budget.
     Fleet(Vec<String>, u32),
-    /// The hall's budget.
+    /// The hall's budget is used up: the hall, its directors that are out, and the budget.
     Hall(String, Vec<String>, u32),
-    /// The time between steps has not passed: milliseconds that are left.
+    /// The minimum time between permits has not passed: milliseconds left.
     TooSoon(u64),
-    /// The budget of streamers: so many would be out, these are, and the budget.
+    /// The budget of streamers is exceeded: how many would be out, which are out, and the budget.
     Streamers(u32, Vec<String>, u32),
-    /// The release does not allow it: why.
+    /// The release does not allow it, for this reason.
     Release(String),
-    /// A share of links: of what, percent that would be out, and the budget.
+    /// A budget of link capacity is exceeded: of what, the percentage that would be out, and the budget.
     Share(String, u32, u32),
 }
 
@@ -248,40 +248,40 @@
     }
 }
 
-/// What became of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Reply {
-    /// It is so now.
+    /// The command is in effect.
     Done,
-    /// A permit, given now or before.
+    /// The permit, granted now or earlier.
     Permit(Permit),
-    /// There is none.
+    /// The request was refused.
     Refused(Refusal),
-    /// The command can't be read by this version of the program.
+    /// This version of the program cannot decode the command.
     Unreadable,
-    /// These are drained, now or before, by one permit.
+    /// The streamers are drained, now or earlier, under one permit.
     Drained {
-        /// The permit.
+        /// Permit number.
         number: u64,
-        /// Which.
+        /// The streamers.
         names: Vec<String>,
     },
 }
 
 impl Command {
-    /// As bytes.
+    /// Encodes it for the log.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 }
 
 impl Reply {
-    /// As bytes.
+    /// Encodes it for the log.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Decodes a reply; bytes that cannot be decoded give [`Reply::Unreadable`].
     pub fn decode(bytes: &[u8]) -> Reply {
         postcard::from_bytes(bytes).unwrap_or(Reply::Unreadable)
     }
--- a/crates/rollout/src/drains.rs
+++ b/crates/rollout/src/drains.rs
@@ -1,6 +1,7 @@
-//! The agreed drains of streamers at one director, behind the core's seam: a drained streamer is closed, and
-//! one that was opened again is told to the module as started at that moment, so that all directors together
-//! take it for cold from one agreed time on and pace it as the module paces any cold one. Only narrows.
+//! The drains of the replicated state at one director, as placement limits for the core. A drained streamer
+//! is closed; a reopened one is reported to the decision module as started at the time of reopening, so that
+//! all directors treat it as cold from the same time on and pace it like any cold streamer. Drains only
+//! restrict placement.
 use crate::command::ListedStreamer;
 use crate::rollout::Rollout;
 use std::cell::RefCell;
@@ -13,24 +14,25 @@
 struct ListedEntry {
     entry: Entry,
     hall: String,
-    /// The latest opening that the module was told of, by its own clock.
+    /// Time of the latest reopening reported to the decision module, by its own clock.
     opened_at: Micros,
 }
 
-/// The drains as one director has them.
+/// The drains known to one director.
 pub struct Drains {
     racks: u32,
     weight_kb: f64,
     warm_up_us: Micros,
     listed: BTreeMap<String, ListedEntry>,
     closed: HashSet<StreamerId>,
-    /// Names that the agreed state has closed, and when it opened others last.
+    /// Names that the replicated state has closed.
     closed_names: HashSet<String>,
+    /// Time of the latest reopening of each streamer that was drained before, by name.
     opened_us: BTreeMap<String, Micros>,
 }
 
 impl Drains {
-    /// A director that knows of no drain yet.
+    /// Creates the state of a director that knows of no drain yet.
     pub fn new(settings: &Settings) -> Drains {
         Drains {
             racks: settings.racks.max(1),
@@ -43,24 +45,25 @@
         }
     }
 
-    /// What was closed when this director last heard of it, in a life before: news that only narrow hold
-    /// until what is agreed is heard again.
+    /// Restores the drains that an earlier incarnation last knew of. As they only restrict placement, they
+    /// hold until the replicated state is received again.
     pub fn restore_closed(&mut self, names: impl IntoIterator<Item = String>) {
         self.closed_names = names.into_iter().collect();
     }
 
-    /// Names of the streamers that are closed, in order.
+    /// Names of the closed streamers, sorted.
     pub fn closed_names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.closed_names.iter().cloned().collect();
         names.sort_unstable();
         names
     }
 
-    /// Takes the list's news, before the module does: `named` gives each entry's name and hall. A streamer
-    /// that was opened after it had started is told as started then.
+    /// Applies an update of the list before the decision module receives it; `named` gives each entry's name
+    /// and hall. The start time of a streamer that was reopened after its start is set to the time of
+    /// reopening.
     pub fn apply_list(&mut self, scope: ListScope, named: &[(String, String)], entries: &mut [Entry]) {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
-            self.listed.values_mut().for_each(|k| k.entry.standing = Standing::Gone); // unless named below
+            self.listed.values_mut().for_each(|k| k.entry.standing = Standing::Gone); // unless listed below
         }
         for (entry, (name, hall)) in entries.iter_mut().zip(named) {
             let opened_at = self.opened_us.get(name).copied().unwrap_or(0);
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Takes what is agreed; returns what the module has to be told of streamers that were opened.
+    /// Applies the replicated state; returns the entries of reopened streamers, to be passed to the decision
+    /// module.
     pub fn apply_agreed(&mut self, state: &Rollout) -> Vec<Entry> {
         let closed = state.streamers.iter().filter(|(_, s)| s.is_closed()).map(|(name, _)| name.clone());
         self.closed_names = closed.collect();
@@ -94,7 +98,8 @@
         restarted
     }
 
-    /// The streamers as this director's list has them, for the leader's watch.
+    /// The streamers on this director's list, for
+    /// [`Reconciler::reconcile_streamers`](crate::Reconciler::reconcile_streamers).
     pub fn listed_streamers(&self) -> Vec<ListedStreamer> {
         let to_listed = |(name, listed): (&String, &ListedEntry)| ListedStreamer {
             name: name.clone(),
@@ -107,23 +112,24 @@
         self.listed.iter().map(to_listed).collect()
     }
 
-    /// How long a streamer is cold, milliseconds.
+    /// Duration of a streamer's warm-up, milliseconds.
     pub fn warm_up_ms(&self) -> u64 {
         self.warm_up_us / 1_000
     }
 
-    /// Whether a streamer is closed here.
+    /// Whether a streamer is closed for new sessions.
     pub fn is_closed(&self, streamer: StreamerId) -> bool {
         self.closed.contains(&streamer)
     }
 }
 
-/// Drains that a controller asks through the seam, and its host changes by what is agreed.
+/// Drains shared between a controller, which consults them as placement limits, and its host, which updates
+/// them from the replicated state.
 #[derive(Clone)]
 pub struct SharedDrains(pub Rc<RefCell<Drains>>);
 
 impl SharedDrains {
-    /// The drains, to be handed to a controller and kept.
+    /// Wraps the drains for sharing with a controller.
     pub fn new(drains: Drains) -> Self {
         SharedDrains(Rc::new(RefCell::new(drains)))
     }
--- a/crates/rollout/src/holder.rs
+++ b/crates/rollout/src/holder.rs
@@ -1,38 +1,38 @@
-//! What a director does about its own leaving: asks for a permit when it is told to end, leaves when it has
-//! one, and without one in time leaves all the same, since the platform demands it.
+//! A director's own departure: it requests a permit when told to end, leaves once it has one, and leaves
+//! without one at the deadline, since the platform demands it.
 use crate::command::Command;
 use crate::rollout::Rollout;
 
-/// Between times that it asks.
+/// Interval between requests for a permit.
 const RETRY_MS: u64 = 250;
 
-/// What a director should do now.
+/// What the director has to do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderAction {
-    /// Nothing.
+    /// Nothing; stay in service.
     Stay,
-    /// Ask for a permit by this command.
+    /// Propose this command to request a permit.
     RequestPermit(Command),
-    /// Leave, by this permit or without one.
+    /// Leave, under this permit or without one.
     Leave(Option<u64>),
 }
 
-/// One life of a director and its permits.
+/// One incarnation of a director and its permits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitHolder {
     name: String,
     incarnation: u64,
-    /// Told to end: until when it waits for a permit, and by whom.
+    /// If told to end: the deadline for a permit (Unix milliseconds), and who told it.
     leave_request: Option<(u64, String)>,
     last_request_ms: u64,
-    /// The last permit that it gave back. What is agreed may tell of it for a while longer: acting on it
-    /// then would be acting on nothing.
+    /// The latest permit that it returned. The replicated state heard here may still show that permit for a
+    /// while; it must not be used then.
     returned_permit: u64,
     left: bool,
 }
 
 impl PermitHolder {
-    /// A life that serves.
+    /// Creates the state of an incarnation that is in service.
     pub fn new(name: &str, incarnation: u64) -> PermitHolder {
         let name = name.to_owned();
         PermitHolder {
@@ -45,25 +45,25 @@
         }
     }
 
-    /// It was told to end, and may wait until a time (Unix milliseconds) for a permit.
+    /// Requests departure, waiting for a permit until the deadline (Unix milliseconds).
     pub fn request_leave(&mut self, deadline_ms: u64, by: &str) {
         self.leave_request.get_or_insert((deadline_ms, by.to_owned()));
     }
 
-    /// When [`PermitHolder::poll`] wants to be called at the latest, Unix milliseconds.
+    /// The latest time at which [`PermitHolder::poll`] has to be called, Unix milliseconds.
     pub fn next_poll_ms(&self) -> Option<u64> {
         let request = self.leave_request.as_ref().filter(|_| !self.left);
         request.map(|(deadline, _)| self.last_request_ms.saturating_add(RETRY_MS).min(*deadline))
     }
 
-    /// The permit on which this life may leave, as agreed.
+    /// The permit in the given state under which this incarnation may leave.
     pub fn permit(&self, state: &Rollout) -> Option<u64> {
         let permit = state.directors.get(&self.name)?.permit.as_ref()?;
         (permit.incarnation == self.incarnation && permit.number > self.returned_permit)
             .then_some(permit.number)
     }
 
-    /// What it should do by what is agreed. [`HolderAction::Leave`] comes once.
+    /// Returns what to do by the given state. [`HolderAction::Leave`] is returned only once.
     pub fn poll(&mut self, now_ms: u64, state: &Rollout) -> HolderAction {
         if self.left {
             return HolderAction::Stay;
@@ -84,7 +84,8 @@
         HolderAction::RequestPermit(Command::Ask { name: self.name.clone(), by: by.clone(), now_ms })
     }
 
-    /// It stays after all, where it has a permit and has not left by it.
+    /// Cancels the departure: returns the command that gives back its permit, if it has one and has not left
+    /// under it.
     pub fn return_permit(&mut self, state: &Rollout) -> Option<Command> {
         let number = self.permit(state).filter(|_| !self.left)?;
         self.returned_permit = number;
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -1,59 +1,60 @@
-//! The leader's judgement of a wave: requests served by its changed directors against those served by the
-//! unchanged ones of the same halls in the same time. Kept by the leader alone; another begins its watch
-//! anew.
+//! The leader's analysis of a wave: compares the share of requests served by the changed directors with that
+//! of the unchanged directors of the same halls over the same time. Only the leader holds the counts; a new
+//! leader starts its watch anew.
 //!
-//! The test: the difference of the shares served, hall by hall, weighted as by Cochran, Mantel and Haenszel
-//! (Cochran, Biometrics 10, 1954), with its standard error from shares drawn a little towards the middle
-//! (Agresti, Coull, The American Statistician 52, 1998). It is looked at when the watch is over, and again
-//! after each further watch, five times at most: looking all the time would pass by luck in the end what does
-//! harm. A wave passes at a look that rules out a loss of [`NON_INFERIORITY_MARGIN`] (one-sided, 95% over all
-//! five looks, by Bonferroni); it halts at a look, or in between by a bound that stands looking all the time,
-//! where the loss is more than chance gives, and after the fifth look in any case.
+//! The test statistic is the difference of the shares served, stratified by hall with Cochran-Mantel-Haenszel
+//! weights (Cochran, Biometrics 10, 1954); its standard error uses shares shrunk slightly towards one half
+//! (Agresti, Coull, The American Statistician 52, 1998). It is evaluated at the end of the watch period and
+//! after each further period, at most five times: testing continuously would in the end pass a harmful change
+//! by chance. A wave passes at a look that rules out a loss of [`NON_INFERIORITY_MARGIN`] (one-sided, 95%
+//! over all five looks, by Bonferroni). It halts where the loss is greater than chance explains, either at a
+//! look or between looks by a stricter bound that allows for continuous testing, and in any case after the
+//! fifth look.
 use crate::release::Release;
 use crate::rollout::Rollout;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The loss that must not be missed: part of all requests.
+/// Loss of served requests, as a fraction of all requests, that a wave must be shown not to reach.
 pub const NON_INFERIORITY_MARGIN: f64 = 0.05;
-/// One-sided 99%: five looks together keep 95%.
+/// Normal quantile for a pass, one-sided 99%: five looks together keep 95%.
 const PASS_Z: f64 = 2.326;
-/// At each of some hundred looks together under 1%.
+/// Normal quantile for a halt between looks: some hundred evaluations together stay under 1%.
 const EARLY_HALT_Z: f64 = 4.0;
-/// At a look: 99.9%.
+/// Normal quantile for a halt at a look: 99.9%.
 const LOOK_HALT_Z: f64 = 3.09;
-/// A difference smaller than this harms nobody, however sure it is.
+/// A smaller loss is harmless, however significant, and does not halt a wave.
 const MIN_HARMFUL_LOSS: f64 = 0.01;
-/// Requests of the changed ones from which on a difference is looked at.
+/// Minimum number of requests at changed directors before a loss can halt a wave.
 const MIN_CHANGED_REQUESTS: f64 = 20.0;
-/// Looks, each a watch after the one before; a wave that can't be told by then halts.
+/// Maximum number of looks, one per watch period; a wave that is still undecided then halts.
 const MAX_LOOKS: u64 = 5;
-/// A count older than this is of a director that no longer tells.
+/// Counts older than this come from a director that has stopped reporting and are ignored.
 const MAX_COUNT_AGE_MS: u64 = 3_000;
 
-/// What a director counted since the start of its life.
+/// Request counts of a director since the start of its incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Health {
-    /// Its life.
+    /// Incarnation that counted.
     pub incarnation: u64,
-    /// Requests taken.
+    /// Requests received.
     pub taken: u64,
-    /// Of them served in time.
+    /// Requests served in time.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Answered as failed.
+    /// Requests answered as failed.
     pub failed: u64,
-    /// Given up by their viewers before an answer.
+    /// Requests abandoned by their viewers before an answer.
     pub unanswered: u64,
 }
 
-/// What a wave came to.
+/// Result of watching a wave.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is as good as the others.
+    /// The changed directors do as well as the unchanged ones.
     Passed,
-    /// It is not, or can't be told.
+    /// They do worse, or there is too little data to tell; the reason.
     Halt(String),
 }
 
@@ -64,19 +65,20 @@
     received_ms: u64,
 }
 
-/// The judgement of one watch.
+/// Comparison of changed and unchanged directors during one watch.
 #[derive(Default)]
 pub struct WaveAnalysis {
     watch: u64,
-    /// Looks of this watch so far.
+    /// Looks made in this watch so far.
     looks: u64,
     counts: BTreeMap<String, CountRange>,
-    /// Shares served by unchanged ones in earlier waves, by hall: what the last wave is held against.
+    /// Requests taken and served by unchanged directors in earlier waves, by hall: the baseline for the last
+    /// wave.
     earlier_unchanged: BTreeMap<String, (f64, f64)>,
 }
 
 impl WaveAnalysis {
-    /// A director's counts came in.
+    /// Records the counts that a director reported.
     pub fn record(&mut self, now_ms: u64, state: &Rollout, name: &str, health: Health) {
         let Some(release) = state.release.as_ref().filter(|r| r.is_watched()) else { return };
         self.start_watch(release.watches);
@@ -88,7 +90,7 @@
         (counted.last, counted.received_ms) = (health, now_ms);
     }
 
-    /// Another watch begins with no counts and no looks.
+    /// Discards counts and looks when another watch begins.
     fn start_watch(&mut self, watch: u64) {
         if self.watch != watch {
             (self.watch, self.looks) = (watch, 0);
@@ -96,7 +98,7 @@
         }
     }
 
-    /// What the wave that is watched came to; none: it is watched on.
+    /// The verdict on the watched wave; `None` if watching goes on.
     pub fn verdict(&mut self, now_ms: u64, state: &Rollout) -> Option<Verdict> {
         let release = state.release.as_ref().filter(|r| r.is_watched())?;
         let since = release.watched_since?;
@@ -132,7 +134,7 @@
         }
         let at_last_look = at_look && looks_due == MAX_LOOKS;
         if weight <= 0.0 {
-            // Nobody to compare with: all are changed, and whoever leads has not seen the waves before.
+            // No baseline: all directors are changed, and this leader has not seen the earlier waves.
             let all_changed = release
                 .order
                 .iter()
@@ -160,7 +162,7 @@
         at_last_look.then(|| Verdict::Halt(format!("too few requests to rule out a loss: {}", summary())))
     }
 
-    /// Requests taken and served in this watch, by hall, of changed and of unchanged directors.
+    /// Requests taken and served in this watch, per hall, by changed and by unchanged directors.
     fn requests_by_hall(
         &self,
         now_ms: u64,
--- a/crates/rollout/src/release.rs
+++ b/crates/rollout/src/release.rs
@@ -1,92 +1,94 @@
-//! A release, as agreed: which directors are changed in which wave, what halts it, and the way back. Any
-//! director that leads carries it on; one that is halted stays so until a person resumes it or takes it back.
-//! Who restarts processes is outside: a supervisor asks for each director's step.
+//! The release in the replicated state: which directors are changed in which wave, what halts the release,
+//! and how it is rolled back. Any new leader continues it; a halted release stays halted until an operator
+//! resumes it or rolls it back. Processes are restarted from outside: a supervisor requests a permit for each
+//! director's restart.
 use crate::command::{Refusal, Reply, Standing};
 use crate::rollout::{Director, Rollout, truncated};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Directors that are lost beside the release, from which on the view of who is there is in doubt.
+/// Number of directors lost independently of the release from which on the membership view is in doubt.
 const MIN_LOST_FOR_DOUBT: usize = 2;
 
-/// What is to change, and how.
+/// What a release changes, and in which steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ReleasePlan {
-    /// Its name, for the record. 1 to 16 characters.
+    /// Name of the release, for the audit log. 1 to 16 characters.
     pub name: String,
-    /// The program's version after it; empty: it does not change.
+    /// Version of the program after the release; empty if it does not change.
     pub version: String,
-    /// The digest of the operator file's settings after it, hexadecimal; empty: they do not change.
+    /// Digest of the operator file's settings after the release, in hexadecimal; empty if they do not change.
     pub settings: String,
-    /// Share of all directors that is changed after each wave, percent, rising to 100. A wave changes one at
-    /// least.
+    /// Percentage of all directors that is changed after each wave, rising to 100. Each wave changes at least
+    /// one.
     pub waves: Vec<u32>,
-    /// For how long each wave is watched at least, milliseconds.
+    /// Minimum time for which each wave is watched, milliseconds.
     pub watch_ms: u64,
 }
 
-/// Where a release stands.
+/// State of a release.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Phase {
-    /// Wave after wave is changed.
+    /// Directors are changed wave by wave.
     Forward,
-    /// Nothing moves until a person says so; why.
+    /// Nothing moves until an operator resumes it or rolls it back; the reason.
     Halted(String),
-    /// What was changed is taken back, newest wave first.
+    /// Changed directors are rolled back, newest wave first.
     Back,
-    /// All are changed.
+    /// All directors are changed.
     Done,
-    /// All that was changed is back.
+    /// All changed directors are rolled back.
     Returned,
 }
 
-/// A director that was changed, or is being changed.
+/// A director that has been changed or is being changed.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ChangedDirector {
-    /// The wave that it belongs to, from 0.
+    /// Its wave, counted from 0.
     pub wave: usize,
-    /// What it ran before: version and settings.
+    /// Version and settings digest that it ran before.
     pub former: (String, String),
 }
 
-/// A release.
+/// A release and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Release {
-    /// The plan.
+    /// Plan of the release.
     pub plan: ReleasePlan,
-    /// Where it stands.
+    /// Current state.
     pub phase: Phase,
-    /// The wave that is changed or watched, from 0.
+    /// The wave that is being changed or watched, counted from 0.
     pub wave: usize,
-    /// All directors in the order in which they are changed, halls in turn.
+    /// All directors in the order of change, alternating between halls.
     pub order: Vec<String>,
-    /// Those that were changed, or are being changed.
+    /// Directors that have been changed or are being changed, by name.
     pub changed: BTreeMap<String, ChangedDirector>,
-    /// Since when all of this wave are changed and serve, Unix milliseconds.
+    /// Time since which all directors of this wave are changed and in service, Unix milliseconds.
     pub watched_since: Option<u64>,
-    /// Counts the waves that were watched, also those begun again: a verdict names what it judged.
+    /// Number of watches begun, including repeated ones. A verdict carries the number of the watch that it
+    /// judged.
     pub watches: u64,
 }
 
-/// Why a plan can't be carried out, and what can.
+/// Why a plan is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// Its name is empty or too long.
+    /// The name is empty or too long.
     #[error("name: 1 to 16 characters are allowed")]
     Name,
-    /// It changes nothing.
+    /// The plan changes neither version nor settings.
     #[error("nothing changes: a version or settings are wanted")]
     Nothing,
-    /// Its waves do not rise to all.
+    /// The percentages of the waves do not rise to 100, or there are too many.
     #[error("waves: up to 20 rising percentages are allowed, the last 100")]
     Waves,
-    /// A wave is watched for too short or too long.
+    /// The time for watching a wave is out of range.
     #[error("watch: 1 to 3600 s are allowed")]
     Watch,
 }
 
 impl PlanError {
-    /// The key of the plan that it is about; none where it is about the whole.
+    /// The invalid key of the plan; `None` if the error concerns the plan as a whole.
     pub fn key(self) -> Option<&'static str> {
         match self {
             PlanError::Name => Some("name"),
@@ -98,7 +100,7 @@
 }
 
 impl ReleasePlan {
-    /// Whether it can be carried out.
+    /// Validates the plan.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.name.is_empty() || self.name.chars().count() > 16 {
             return Err(PlanError::Name);
@@ -116,7 +118,7 @@
         Ok(())
     }
 
-    /// Whether a director runs what this plan brings.
+    /// Whether a director runs the version and settings of this plan.
     pub fn is_applied_to(&self, director: &Director) -> bool {
         (self.version.is_empty() || self.version == director.version)
             && (self.settings.is_empty() || self.settings == director.settings)
@@ -124,25 +126,25 @@
 }
 
 impl Release {
-    /// How many of the order are changed after a wave.
+    /// Number of directors, from the start of the order, that are changed after a wave.
     fn directors_through(&self, wave: usize) -> usize {
         let percent = self.plan.waves.get(wave).copied().unwrap_or(100) as usize;
         let share = (self.order.len() * percent).div_ceil(100);
         share.max(wave + 1).min(self.order.len())
     }
 
-    /// The wave of a director.
+    /// The wave that changes a director; `None` if it is not part of the release.
     pub fn wave_of(&self, name: &str) -> Option<usize> {
         let position = self.order.iter().position(|n| n == name)?;
         (0..self.plan.waves.len()).find(|wave| position < self.directors_through(*wave))
     }
 
-    /// Whether anything of it may still move.
+    /// Whether the release is under way, including halted and rolling back.
     pub fn is_active(&self) -> bool {
         matches!(self.phase, Phase::Forward | Phase::Halted(_) | Phase::Back)
     }
 
-    /// Whether its changed directors are watched now.
+    /// Whether the changed directors are being watched now.
     pub fn is_watched(&self) -> bool {
         self.phase == Phase::Forward && self.watched_since.is_some()
     }
@@ -156,7 +158,8 @@
         if let Err(why) = plan.check() {
             return Reply::Refused(Refusal::Release(why.to_string()));
         }
-        // Halls in turn, so that a wave is spread over them, and each has unchanged ones to compare with.
+        // Alternates between halls, so that a wave is spread over them and each hall has unchanged directors
+        // to compare with.
         let mut by_hall: BTreeMap<&str, Vec<&String>> = BTreeMap::new();
         let serving = self.directors.iter().filter(|(_, d)| d.standing == Standing::Serving);
         serving.for_each(|(name, d)| by_hall.entry(&d.hall).or_default().push(name));
@@ -183,7 +186,7 @@
         Reply::Done
     }
 
-    /// A supervisor wants to restart a director for the release that is under way.
+    /// Handles a supervisor's request to restart a director for the active release.
     pub(crate) fn step_release(&mut self, name: &str, by: &str) -> Reply {
         let refused = |why: String| Reply::Refused(Refusal::Release(why));
         let Some(release) = self.release.clone().filter(Release::is_active) else {
@@ -227,11 +230,11 @@
         }
     }
 
-    /// The leader's verdict on a watch.
+    /// Ends a watch that passed: moves on to the next wave, or completes the release.
     pub(crate) fn pass_wave(&mut self, watch: u64) {
         let Some(release) = &mut self.release else { return };
         if !release.is_watched() || release.watches != watch {
-            return; // of a watch that is over
+            return; // the verdict is about an earlier watch
         }
         let (wave, last) = (release.wave, release.wave + 1 >= release.plan.waves.len());
         release.watched_since = None;
@@ -246,7 +249,7 @@
         self.update_release();
     }
 
-    /// Halts a release that moves; one that goes back goes on.
+    /// Halts a release that moves forward; a rollback is not stopped.
     pub(crate) fn halt_release(&mut self, why: String) {
         let Some(release) = self.release.as_mut().filter(|r| r.phase == Phase::Forward) else { return };
         release.phase = Phase::Halted(why.clone());
@@ -278,8 +281,8 @@
         Reply::Done
     }
 
-    /// What is seen of the directors moves the release: a wave that is changed is watched, one that went
-    /// wrong halts, what is back is taken off.
+    /// Updates the release by the state of the directors: starts or ends the watch of a wave, halts on a
+    /// fault, and during a rollback removes the directors that are restored.
     pub(crate) fn update_release(&mut self) {
         let Some(release) = self.release.clone() else { return };
         let serving = |name: &str| {
@@ -317,7 +320,7 @@
         }
     }
 
-    /// A director is back that was let go by nobody.
+    /// Halts the release if a director that it changed has restarted without a permit.
     pub(crate) fn halt_after_unplanned_restart(&mut self, name: &str) {
         if self.release.as_ref().is_some_and(|r| r.changed.contains_key(name)) {
             self.halt_release(format!("{name}, changed in it, was lost and is back"));
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,4 +1,4 @@
-//! The agreed state: who is known, who holds a permit, what is halted, and what was done.
+//! The replicated state: known directors and streamers, their permits, the halt, and the audit log.
 use crate::command::{Command, Refusal, Reply, Standing};
 use crate::release::Release;
 use crate::settings::DisruptionBudgets;
@@ -6,100 +6,101 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Directors known at most; the fleet's own bound is above what one log should carry.
+/// Maximum number of known directors. The fleet's own limit is higher than one log should carry.
 const MAX_DIRECTORS: usize = 2_000;
-/// Lines of the record that are kept.
+/// Number of audit entries kept.
 const MAX_AUDIT_ENTRIES: usize = 128;
-/// The longest text taken from outside, bytes.
+/// Longest text accepted from outside, in bytes.
 const MAX_TEXT_BYTES: usize = 64;
 
-/// Leave to be out.
+/// Permission for a director to be out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Permit {
-    /// Grows with each permit, never given twice.
+    /// Unique permit number, greater than that of every earlier permit.
     pub number: u64,
-    /// The life that may end.
+    /// The incarnation that may leave.
     pub incarnation: u64,
-    /// When it was given, Unix milliseconds.
+    /// Time at which it was granted, Unix milliseconds.
     pub at_ms: u64,
-    /// Who asked, and why.
+    /// Who requested it, and why.
     pub by: String,
-    /// Its holder was not back in time.
+    /// Whether the holder failed to return within the configured time.
     pub overdue: bool,
 }
 
-/// A director, as agreed.
+/// A director in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Director {
-    /// Its hall.
+    /// Hall of the member.
     pub hall: String,
-    /// The latest life that is known.
+    /// Latest known incarnation.
     pub incarnation: u64,
-    /// How it stands.
+    /// Whether it is in service.
     pub standing: Standing,
-    /// The program's version that it runs.
+    /// Version of the program that it runs.
     pub version: String,
-    /// Digest of its settings, hexadecimal.
+    /// Digest of its settings, in hexadecimal.
     pub settings: String,
-    /// Its permit, until it is proven back.
+    /// Its permit, held until it is proven to be back in service.
     pub permit: Option<Permit>,
-    /// Why it was refused one last: one that asks again and again fills no record.
+    /// Latest refusal of a permit. An identical refusal is not audited again, so retries do not fill the
+    /// audit log.
     pub refused: Option<String>,
 }
 
 impl Director {
-    /// Whether it counts against the budgets.
+    /// Whether it counts as out of service against the budgets.
     pub fn is_out(&self) -> bool {
         self.permit.is_some() || self.standing == Standing::Absent
     }
 }
 
-/// A line of the record.
+/// An entry of the audit log.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct AuditEntry {
-    /// When, Unix milliseconds.
+    /// Time of the entry, Unix milliseconds.
     pub at_ms: u64,
-    /// Whom it is about; empty: all.
+    /// Name of the member concerned; empty for the whole fleet.
     pub name: String,
-    /// What was done or refused, and why.
+    /// What was done or refused, and the reason.
     pub what: String,
 }
 
-/// The agreed state.
+/// The replicated state. Every replica applies the same [`Command`]s in log order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Rollout {
-    /// What may be out.
+    /// Budgets in force.
     pub budgets: DisruptionBudgets,
-    /// All directors that were ever seen in service and not forgotten.
+    /// All directors that have been seen in service and not been forgotten since, by name.
     pub directors: BTreeMap<String, Director>,
-    /// All streamers of the list.
+    /// All streamers of the list, by name.
     pub streamers: BTreeMap<String, Streamer>,
-    /// How long a streamer is cold.
+    /// Duration of a streamer's warm-up, milliseconds.
     pub warm_up_ms: u64,
-    /// When streamers were drained last.
+    /// Time of the latest drain, Unix milliseconds.
     #[serde(rename = "last_streamers_ms")]
     pub last_drain_ms: u64,
-    /// The release, the last one where none is under way.
+    /// The active release, or the latest one if none is active.
     pub release: Option<Release>,
-    /// Why nothing is given; none: it goes on.
+    /// Why no permits are granted; `None` if there is no halt.
     pub halted: Option<String>,
-    /// The last permit's number.
+    /// Number of the latest permit, of a director or of streamers.
     #[serde(rename = "last")]
     pub last_permit: u64,
-    /// When it was given.
+    /// Time of the latest permit of a director, Unix milliseconds.
     #[serde(rename = "last_ms")]
     pub last_permit_ms: u64,
-    /// The state's time.
+    /// Time of the state, Unix milliseconds: the latest time in any command.
     pub now_ms: u64,
-    /// Lines of the record so far.
+    /// Number of audit entries written so far, including those no longer kept.
     #[serde(rename = "lines")]
     pub audit_total: u64,
-    /// The last of them.
+    /// The latest audit entries.
     pub audit: VecDeque<AuditEntry>,
 }
 
 impl Rollout {
-    /// Takes a command as bytes; one that can't be read changes nothing.
+    /// Applies an encoded command; one that cannot be decoded changes nothing.
     pub fn apply(&mut self, command: &[u8]) -> Reply {
         match postcard::from_bytes(command) {
             Ok(command) => self.apply_command(command),
@@ -107,17 +108,17 @@
         }
     }
 
-    /// The whole state, as bytes.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// A whole state from bytes; none where it can't be read.
+    /// Decodes a whole state; `None` if the bytes cannot be decoded.
     pub fn restore(state: &[u8]) -> Option<Rollout> {
         postcard::from_bytes(state).ok()
     }
 
-    /// Takes a command.
+    /// Applies a command and returns its result.
     pub fn apply_command(&mut self, command: Command) -> Reply {
         match command {
             Command::Time { now_ms } => {
@@ -137,7 +138,8 @@
             Command::Seen { name, hall, incarnation, standing, version, settings, now_ms } => {
                 self.advance_time(now_ms);
                 let before = self.directors.get(&name);
-                // Faster than the fleet finds it gone: its later life is all that tells of the crash.
+                // A crash and restart faster than the fleet's failure detection shows only as a later
+                // incarnation.
                 let restarted_without_permit = before.is_some_and(|d| {
                     let back = d.standing == Standing::Serving && standing == Standing::Serving;
                     back && d.incarnation < incarnation && d.permit.is_none()
@@ -213,13 +215,13 @@
         Reply::Done
     }
 
-    /// Names of those that are out, of a hall or of the fleet.
+    /// Names of the directors that are out, of one hall or (`None`) of the fleet.
     pub fn directors_out(&self, hall: Option<&str>) -> Vec<String> {
         let matches = |d: &Director| d.is_out() && hall.is_none_or(|hall| d.hall == hall);
         self.directors.iter().filter(|(_, d)| matches(d)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// When something comes to pass by time alone, Unix milliseconds.
+    /// The next time at which the state changes without any event, Unix milliseconds.
     pub fn next_deadline_ms(&self) -> Option<u64> {
         let permits = self.directors.values().filter_map(|d| d.permit.as_ref()).filter(|p| !p.overdue);
         let earliest_overdue = permits.map(|p| p.at_ms.saturating_add(self.budgets.longest_ms)).min();
@@ -235,7 +237,7 @@
                 && !permit.overdue
                 && permit.at_ms.saturating_add(max_out_ms) <= now
             {
-                permit.overdue = true; // it still counts as out: only proof frees it
+                permit.overdue = true; // still counts as out: only proof of return releases it
                 newly_overdue.push((name.clone(), permit.number));
             }
         }
@@ -247,7 +249,7 @@
 
     fn apply_director_seen(&mut self, name: &str, hall: String, incarnation: u64, standing: Standing) {
         let known = self.directors.get(name);
-        // News of a former life changes nothing, and one that was never in service counts for nothing.
+        // Reports about an earlier incarnation are ignored, and so is a director that was never in service.
         let stale = known.is_some_and(|d| incarnation < d.incarnation);
         let unknown_absent = known.is_none() && standing == Standing::Absent;
         if stale || unknown_absent || name.len() > MAX_TEXT_BYTES || hall.len() > MAX_TEXT_BYTES {
@@ -271,7 +273,7 @@
         director.hall = hall;
         director.incarnation = incarnation;
         director.standing = standing;
-        // The proof: another life than the one that was let go serves.
+        // Proof of return: a later incarnation than the one that held the permit is in service.
         let proves_return = |p: &Permit| standing == Standing::Serving && p.incarnation < incarnation;
         let released = director.permit.take_if(|p| proves_return(p)).map(|p| p.number);
         let held = director.permit.is_some();
@@ -305,7 +307,7 @@
             }
             Err(refusal) => {
                 let message = format!("no permit for {}: {refusal}", truncated(by));
-                let time_dependent = matches!(refusal, Refusal::TooSoon(_)); // tells another figure each time
+                let time_dependent = matches!(refusal, Refusal::TooSoon(_)); // its number differs each time
                 let previous = self.directors.get_mut(name).map(|d| d.refused.replace(message.clone()));
                 if !time_dependent && previous.is_none_or(|last| last.as_deref() != Some(&message)) {
                     self.record(name, message);
@@ -315,8 +317,8 @@
         }
     }
 
-    /// Whether one more may be out. The permit that it has already, where it has one: asking is safe to
-    /// repeat.
+    /// Checks whether the director may leave. Returns its existing permit if it has one, so requests are
+    /// idempotent.
     fn check_permit(&self, name: &str) -> Result<Option<Permit>, Refusal> {
         let director = self.directors.get(name).ok_or(Refusal::Unknown)?;
         if let Some(permit) = &director.permit {
@@ -345,7 +347,8 @@
 
     fn return_permit(&mut self, name: &str, number: u64) {
         let Some(director) = self.directors.get_mut(name) else { return };
-        // Only by the life that holds it, and only while it serves: nobody else can say that it stays.
+        // Only the incarnation that holds the permit can return it, and only while it serves: nobody else
+        // knows that it stays.
         let held = |p: &mut Permit| p.number == number && p.incarnation == director.incarnation;
         if director.standing == Standing::Serving && director.permit.take_if(held).is_some() {
             self.record(name, format!("permit {number} was given back"));
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -1,31 +1,32 @@
-//! The block `out` of the operator file: what may be out of service at a time.
+//! The block `out` of the operator file: how much may be out of service at a time.
 use serde::{Deserialize, Serialize};
 
-/// Budgets of what may be out. The leader puts its own file's budgets in force; where files differ, those of
-/// the next leader follow, and the log's history tells.
+/// Disruption budgets. The leader puts the budgets of its own file in force; if files differ, a change of
+/// leader changes the budgets, and the audit log records it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DisruptionBudgets {
-    /// Directors out at once in the fleet, by permit or lost. 0 to 1,000.
+    /// Maximum number of directors out at once in the fleet, by permit or lost. 0 to 1,000.
     pub directors: u32,
-    /// Directors out at once in one hall. 0 to 1,000.
+    /// Maximum number of directors out at once in one hall. 0 to 1,000.
     pub directors_of_hall: u32,
-    /// Milliseconds from one permit to the next at least. 0 to 3,600,000.
+    /// Minimum time between two permits, milliseconds. 0 to 3,600,000.
     pub step_ms: u64,
-    /// Milliseconds after which a permit whose holder is not back counts as lost, and nothing more is given
-    /// until a person resumes. 1,000 to 86,400,000.
+    /// Time after which a permit whose holder is not back is overdue, milliseconds; no more permits are
+    /// granted then until an operator resumes. 1,000 to 86,400,000.
     pub longest_ms: u64,
-    /// Streamers out at once, drained or not in service on the list. 0 to 4,000.
+    /// Maximum number of streamers out at once, drained or not in service on the list. 0 to 4,000.
     pub streamers: u32,
-    /// Share of the fleet's links that may be out with them, percent. 0 to 100.
+    /// Maximum share of the fleet's link capacity out with them, percent. 0 to 100.
     pub streamers_percent: u32,
-    /// Share of a hall's links, percent; 100 allows to drain a hall. 0 to 100.
+    /// Maximum share of a hall's link capacity out, percent; 100 allows draining a whole hall. 0 to 100.
     pub hall_percent: u32,
-    /// Share of a rack's links, percent; 100 allows to drain a rack. 0 to 100.
+    /// Maximum share of a rack's link capacity out, percent; 100 allows draining a whole rack. 0 to 100.
     pub rack_percent: u32,
-    /// The same as `longest_ms` for a streamer that is drained. 1,000 to 604,800,000.
+    /// Like `longest_ms`, for a drained streamer. 1,000 to 604,800,000.
     pub streamers_longest_ms: u64,
-    /// Milliseconds for which a director that was told to end by a signal waits for a permit. 0 to 60,000.
+    /// Time for which a director that was told to end by a signal waits for a permit, milliseconds. 0 to
+    /// 60,000.
     pub ask_ms: u64,
 }
 
@@ -46,11 +47,11 @@
     }
 }
 
-/// A setting that can't be, with the key it stands under.
+/// A setting whose value is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key} is {value}; {min} to {max} is allowed")]
 pub struct SettingError {
-    /// The key within the block.
+    /// Key within the block.
     pub key: String,
     value: u64,
     min: u64,
@@ -58,7 +59,7 @@
 }
 
 impl DisruptionBudgets {
-    /// Whether all values can be used.
+    /// Validates all values.
     pub fn check(&self) -> Result<(), SettingError> {
         let all = [
             ("directors", self.directors.into(), 0, 1_000),
--- a/crates/rollout/src/streamers.rs
+++ b/crates/rollout/src/streamers.rs
@@ -1,54 +1,55 @@
-//! The streamers' part of the agreed state: which are known, which are drained by which permit, and the way
-//! back. A drained one is free again only when it was opened, is in service on the list and past its warm-up.
+//! The streamers' part of the replicated state: which are known, which are drained under which permit, and
+//! how they return. A streamer's permit is released only once it has been reopened, is in service on the list
+//! and has completed its warm-up.
 use crate::command::{DrainScope, ListedStreamer, Refusal, Reply};
 use crate::rollout::{Rollout, truncated};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Streamers known at most.
+/// Maximum number of known streamers.
 const MAX_STREAMERS: usize = 4_000;
-/// Names that a refusal tells at most.
+/// Maximum number of names listed in a refusal.
 const MAX_NAMES_IN_REFUSAL: usize = 8;
 
-/// Leave to be out for a streamer.
+/// Permission for a streamer to be out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct StreamerPermit {
-    /// Grows with each permit of the fleet; streamers drained together share it.
+    /// Permit number, which grows with each permit of the fleet; streamers drained together share one.
     pub number: u64,
-    /// When it was given, Unix milliseconds.
+    /// Time at which it was granted, Unix milliseconds.
     pub at_ms: u64,
-    /// Who asked.
+    /// Who requested it.
     pub by: String,
-    /// It was out for too long.
+    /// Whether it has been out for too long.
     pub overdue: bool,
-    /// When it was opened again; none: it is closed.
+    /// Time at which it was reopened, Unix milliseconds; `None` while it is closed.
     pub opened_ms: Option<u64>,
 }
 
-/// A streamer, as agreed.
+/// A streamer in the replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Streamer {
-    /// Its hall.
+    /// Hall of the member.
     pub hall: String,
-    /// Its rack.
+    /// Rack of the streamer.
     pub rack: u32,
-    /// Its link, kB a second.
+    /// Link capacity, kB/s.
     pub kb: u64,
-    /// It is in service on the list.
+    /// Whether it is in service on the list.
     pub up: bool,
-    /// Its permit, until it is proven back.
+    /// Its permit, held until it is proven to be back in service.
     pub permit: Option<StreamerPermit>,
-    /// When it was opened last after a drain, Unix milliseconds; 0: never.
+    /// Time of the latest reopening after a drain, Unix milliseconds; 0 if never drained and reopened.
     pub opened_ms: u64,
 }
 
 impl Streamer {
-    /// Whether it counts against the budgets.
+    /// Whether it counts as out of service against the budgets.
     pub fn is_out(&self) -> bool {
         self.permit.is_some() || !self.up
     }
 
-    /// Whether no new session may go there.
+    /// Whether it is drained: no new session may be placed there.
     pub fn is_closed(&self) -> bool {
         self.permit.as_ref().is_some_and(|p| p.opened_ms.is_none())
     }
@@ -74,7 +75,8 @@
         for entry in seen {
             let known = self.streamers.get(&entry.name);
             if entry.gone && known.is_some_and(|s| s.permit.is_none()) {
-                // The platform took it out for good; its permit, where it has one, wants a person's word.
+                // The platform removed it permanently. If it still has a permit, an operator has to forget
+                // it.
                 self.streamers.remove(&entry.name);
                 continue;
             }
@@ -96,7 +98,7 @@
             .collect();
         let permit_number = |name: &String| self.streamers.get(name)?.permit.as_ref().map(|p| p.number);
         if let (Some(number), true) = (members.first().and_then(permit_number), to_drain.is_empty()) {
-            return Reply::Drained { number, names: members }; // asking again is safe
+            return Reply::Drained { number, names: members }; // repeated requests are idempotent
         }
         if let Err(refusal) = self.check_drain(&members, &to_drain) {
             let message = format!("no drain of {scope} for {}: {refusal}", truncated(by));
@@ -117,7 +119,7 @@
         Reply::Drained { number, names: to_drain }
     }
 
-    /// Whether these may be out as well. All of them or none.
+    /// Checks whether these streamers may be out as well, all of them or none.
     fn check_drain(&self, members: &[String], to_drain: &[String]) -> Result<(), Refusal> {
         if members.is_empty() {
             return Err(Refusal::Unknown);
@@ -183,7 +185,8 @@
         }
     }
 
-    /// What time alone brings: those that are warm are free, those that are late halt all.
+    /// Applies the passing of time: releases permits of streamers that are warm, and halts all permits if one
+    /// is overdue.
     pub(crate) fn advance_streamer_time(&mut self) {
         let (now, warm_up_ms, max_out_ms) = (self.now_ms, self.warm_up_ms, self.budgets.streamers_longest_ms);
         let (mut released, mut newly_overdue) = (Vec::new(), Vec::new());
@@ -207,7 +210,7 @@
         }
     }
 
-    /// When something comes to pass for a streamer by time alone, Unix milliseconds.
+    /// The next time at which a streamer's state changes without any event, Unix milliseconds.
     pub(crate) fn next_streamer_deadline_ms(&self) -> Option<u64> {
         let next_deadline = |s: &Streamer| {
             let permit = s.permit.as_ref()?;
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -1,37 +1,39 @@
-//! What the leader does for the agreed state: compares it with the members that it sees, and says which
-//! commands the log still lacks. Keeps how long each has served; a new leader begins anew, which only delays.
+//! Runs at the leader: compares the replicated state with the observed members and returns the commands that
+//! bring it up to date. Tracks how long each member has been in its present state; a new leader starts over,
+//! which only causes a delay.
 use crate::command::{Command, ListedStreamer, Standing};
 use crate::rollout::Rollout;
 use crate::settings::DisruptionBudgets;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A director is proven back after so long in service: its first second of set-ups.
+/// Time in service after which a director counts as back: its first second of set-ups.
 const PROVEN_BACK_MS: u64 = 1_000;
-/// One that is not seen in service is called absent after so long: a restart of the view is no loss.
+/// Time after which a director not seen in service is reported absent, so that a restart of the membership
+/// view does not count as a loss.
 const ABSENT_AFTER_MS: u64 = 300;
-/// A proposal that had no effect is made again after so long.
+/// Delay before a proposal that had no effect is repeated.
 const REPROPOSE_MS: u64 = 1_000;
-/// Proposals of one look at most.
+/// Maximum number of commands proposed per call.
 const MAX_COMMANDS_PER_CALL: usize = 32;
-/// Streamers in one command at most.
+/// Maximum number of streamers in one command.
 const MAX_STREAMERS_PER_COMMAND: usize = 64;
 
-/// A director as the leader's view has it.
+/// A director in the leader's membership view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Who.
+    /// Name of the director.
     pub name: String,
-    /// Its hall.
+    /// Hall of the member.
     pub hall: String,
-    /// Its life.
+    /// Incarnation that counted.
     pub incarnation: u64,
-    /// It is in the fleet and serves.
+    /// Whether it is in the fleet and in service.
     pub serving: bool,
-    /// It is in the fleet, whatever it does.
+    /// Whether it is in the fleet, in service or not.
     pub in_fleet: bool,
-    /// The program's version that it runs.
+    /// Version of the program that it runs.
     pub version: String,
-    /// Digest of its settings, hexadecimal.
+    /// Digest of its settings, in hexadecimal.
     pub settings: String,
 }
 
@@ -42,7 +44,7 @@
     since_ms: u64,
 }
 
-/// The leader's watch.
+/// Compares the observed members with the replicated state, at the leader.
 #[derive(Default)]
 pub struct Reconciler {
     observed: BTreeMap<String, ObservedState>,
@@ -53,13 +55,13 @@
 }
 
 impl Reconciler {
-    /// A watch that has just begun to lead.
+    /// Creates the reconciler of a new leader.
     pub fn new() -> Reconciler {
         Reconciler::default()
     }
 
-    /// The commands that the agreed state lacks. `sure`: the view is worth believing; a leader that hears
-    /// few of the others calls nobody absent.
+    /// Returns the commands that bring the state of the directors up to date. `view_is_reliable` is false if
+    /// the leader hears from few of the others; it then reports nobody as absent.
     pub fn reconcile_directors(
         &mut self,
         now_ms: u64,
@@ -90,7 +92,8 @@
             settings: String::new(),
         });
         for member in members.iter().cloned().chain(missing) {
-            // The rest is looked at the next time: what is not proposed must not be noted as proposed.
+            // The rest waits for the next call: a command that is not proposed must not be recorded as
+            // proposed.
             if commands.len() >= MAX_COMMANDS_PER_CALL {
                 break;
             }
@@ -99,7 +102,7 @@
         commands
     }
 
-    /// The command that the agreed state lacks of streamers, by the leader's own list.
+    /// Returns the command that brings the state of the streamers up to date with the leader's list.
     pub fn reconcile_streamers(
         &mut self,
         now_ms: u64,
@@ -143,7 +146,7 @@
         let known = state.directors.get(&name);
         let standing = match (serving, in_fleet) {
             (true, _) if unchanged_for_ms >= PROVEN_BACK_MS => Standing::Serving,
-            // A later life that starts, or one that says that it leaves.
+            // A later incarnation that is starting, or one that announced that it leaves.
             (false, true) => Standing::Absent,
             (false, false) if view_is_reliable && unchanged_for_ms >= ABSENT_AFTER_MS => Standing::Absent,
             _ => return None,
@@ -152,7 +155,7 @@
         if known.is_none() && standing == Standing::Absent {
             return None;
         }
-        // What one that is gone ran last stays known.
+        // For a director that is gone, the version and settings last seen are kept.
         let (version, settings) = match (known, incarnation > 0 && in_fleet) {
             (Some(d), false) => (d.version.clone(), d.settings.clone()),
             _ => (version, settings),
