--- a/crates/rollout/src/release.rs
+++ b/crates/rollout/src/release.rs
@@ -77,7 +77,7 @@
     #[error("name: 1 to 16 characters are allowed")]
     Name,
     /// The plan changes neither version nor settings.
-    #[error("nothing changes: a version or settings are wanted")]
+    #[error("nothing changes: give a version or settings")]
     Nothing,
     /// The percentages of the waves do not rise to 100, or there are too many.
     #[error("waves: up to 20 rising percentages are allowed, the last 100")]
@@ -206,10 +206,10 @@
                     return Reply::Done;
                 }
                 let Some(wave) = release.wave_of(name) else {
-                    return refused(format!("{name} came after the release began; it is not part of it"));
+                    return refused(format!("{name} joined after the release began and is not part of it"));
                 };
                 if wave != release.wave {
-                    return refused(format!("wave {} is not yet there", wave + 1));
+                    return refused(format!("wave {} has not started yet", wave + 1));
                 }
                 let reply = self.request_permit(name, &by);
                 if let (Reply::Permit(_), Some(release)) = (&reply, &mut self.release) {
@@ -222,7 +222,7 @@
                 let Some(changed) = release.changed.get(name) else { return Reply::Done };
                 let newest = release.changed.values().map(|c| c.wave).max();
                 if newest != Some(changed.wave) {
-                    return refused(format!("wave {} goes back first", newest.unwrap_or(0) + 1));
+                    return refused(format!("wave {} has to be rolled back first", newest.unwrap_or(0) + 1));
                 }
                 self.request_permit(name, &by)
             }
--- a/crates/rollout/tests/releases.rs
+++ b/crates/rollout/tests/releases.rs
@@ -97,7 +97,7 @@
 #[test]
 fn waves_come_one_after_another_each_when_the_one_before_passed() {
     let mut fleet = Fleet::new();
-    assert!(why(fleet.step(1)).contains("wave 2 is not yet there"));
+    assert!(why(fleet.step(1)).contains("wave 2 has not started yet"));
     assert!(!fleet.watched());
     fleet.restart(0, "2");
     assert!(fleet.watched());
@@ -176,7 +176,7 @@
     fleet.restart(1, "2");
     assert!(matches!(fleet.step(2), Reply::Permit(_)), "out when it is called back");
     fleet.take(Command::ReleaseBack { by: "ops".into(), now_ms: fleet.now_ms });
-    assert!(why(fleet.step(0)).contains("wave 2 goes back first"));
+    assert!(why(fleet.step(0)).contains("wave 2 has to be rolled back first"));
     assert_eq!(fleet.step(7), Reply::Done, "it was never changed");
     fleet.lives[2] += 1;
     fleet.seen(2, Standing::Serving, "1");
