--- a/crates/rollout/tests/budgets.rs
+++ b/crates/rollout/tests/budgets.rs
@@ -11,12 +11,19 @@
     };
     let mut rollout = Rollout { budgets, ..Rollout::default() };
     for (i, hall) in ["a", "a", "b", "b", "c"].into_iter().enumerate() {
-        seen(&mut rollout, &format!("d{i}"), hall, 1, Standing::Serving, 10_000);
+        report_director(&mut rollout, &format!("d{i}"), hall, 1, Standing::Serving, 10_000);
     }
     rollout
 }
 
-fn seen(rollout: &mut Rollout, name: &str, hall: &str, incarnation: u64, standing: Standing, now_ms: u64) {
+fn report_director(
+    rollout: &mut Rollout,
+    name: &str,
+    hall: &str,
+    incarnation: u64,
+    standing: Standing,
+    now_ms: u64,
+) {
     let (name, hall) = (name.to_owned(), hall.to_owned());
     rollout.apply_command(Command::Seen {
         name,
@@ -29,44 +36,43 @@
     });
 }
 
-fn ask(rollout: &mut Rollout, name: &str, now_ms: u64) -> Reply {
+fn request_permit(rollout: &mut Rollout, name: &str, now_ms: u64) -> Reply {
     rollout.apply_command(Command::Ask { name: name.into(), by: "SIGTERM".into(), now_ms })
 }
 
-fn number(reply: Reply) -> u64 {
+fn permit_number(reply: Reply) -> u64 {
     let Reply::Permit(permit) = reply else { panic!("{reply:?}") };
     permit.number
 }
 
 #[test]
-fn budgets_of_the_fleet_and_of_a_hall_and_the_time_between_steps_hold() {
+fn permits_respect_fleet_and_hall_budgets_and_the_step_interval() {
     let mut rollout = fleet();
-    assert_eq!(number(ask(&mut rollout, "d0", 20_000)), 1);
-    assert_eq!(number(ask(&mut rollout, "d0", 20_100)), 1, "asking again is safe");
-    assert_eq!(ask(&mut rollout, "d2", 20_400), Reply::Refused(Refusal::TooSoon(600)));
-    assert!(
-        matches!(ask(&mut rollout, "d1", 22_000), Reply::Refused(Refusal::Hall(hall, ..)) if hall == "a")
-    );
-    assert_eq!(number(ask(&mut rollout, "d2", 22_000)), 2);
-    let refused = ask(&mut rollout, "d4", 24_000);
+    assert_eq!(permit_number(request_permit(&mut rollout, "d0", 20_000)), 1);
+    assert_eq!(permit_number(request_permit(&mut rollout, "d0", 20_100)), 1, "requests are idempotent");
+    assert_eq!(request_permit(&mut rollout, "d2", 20_400), Reply::Refused(Refusal::TooSoon(600)));
+    let of_hall = request_permit(&mut rollout, "d1", 22_000);
+    assert!(matches!(of_hall, Reply::Refused(Refusal::Hall(hall, ..)) if hall == "a"));
+    assert_eq!(permit_number(request_permit(&mut rollout, "d2", 22_000)), 2);
+    let refused = request_permit(&mut rollout, "d4", 24_000);
     let Reply::Refused(why @ Refusal::Fleet(..)) = refused else { panic!("{refused:?}") };
     assert_eq!(why.to_string(), "budget of the fleet: 2 may be out, and 2 are: d0 d2");
-    assert_eq!(ask(&mut rollout, "d9", 24_000), Reply::Refused(Refusal::Unknown));
+    assert_eq!(request_permit(&mut rollout, "d9", 24_000), Reply::Refused(Refusal::Unknown));
 }
 
 #[test]
-fn what_is_lost_without_a_permit_counts_and_only_a_later_life_in_service_frees_one() {
+fn lost_directors_count_as_out_and_only_a_later_incarnation_in_service_releases_a_permit() {
     let mut rollout = fleet();
-    seen(&mut rollout, "d4", "c", 1, Standing::Absent, 11_000);
-    assert_eq!(number(ask(&mut rollout, "d0", 20_000)), 1);
-    assert!(matches!(ask(&mut rollout, "d2", 22_000), Reply::Refused(Refusal::Fleet(..))));
+    report_director(&mut rollout, "d4", "c", 1, Standing::Absent, 11_000);
+    assert_eq!(permit_number(request_permit(&mut rollout, "d0", 20_000)), 1);
+    assert!(matches!(request_permit(&mut rollout, "d2", 22_000), Reply::Refused(Refusal::Fleet(..))));
     // Its former life, seen late, proves nothing; neither does its going.
-    seen(&mut rollout, "d0", "a", 1, Standing::Serving, 23_000);
-    seen(&mut rollout, "d0", "a", 1, Standing::Absent, 24_000);
+    report_director(&mut rollout, "d0", "a", 1, Standing::Serving, 23_000);
+    report_director(&mut rollout, "d0", "a", 1, Standing::Absent, 24_000);
     assert_eq!(rollout.directors_out(None), ["d0", "d4"]);
-    seen(&mut rollout, "d0", "a", 2, Standing::Serving, 25_000);
+    report_director(&mut rollout, "d0", "a", 2, Standing::Serving, 25_000);
     assert_eq!(rollout.directors_out(None), ["d4"]);
-    assert_eq!(number(ask(&mut rollout, "d2", 26_000)), 2);
+    assert_eq!(permit_number(request_permit(&mut rollout, "d2", 26_000)), 2);
     // One that is gone for good: a person says so.
     rollout.apply_command(Command::Forget { name: "d4".into(), by: "ops".into() });
     assert_eq!(rollout.directors_out(None), ["d2"]);
@@ -76,38 +82,38 @@
 }
 
 #[test]
-fn an_overdue_permit_halts_all_and_stays_out_until_a_person_resumes() {
+fn an_overdue_permit_halts_further_permits_and_still_counts_after_a_resume() {
     let mut rollout = fleet();
-    assert_eq!(number(ask(&mut rollout, "d0", 20_000)), 1);
+    assert_eq!(permit_number(request_permit(&mut rollout, "d0", 20_000)), 1);
     assert_eq!(rollout.next_deadline_ms(), Some(80_000));
     rollout.apply_command(Command::Time { now_ms: 80_000 });
     assert_eq!(rollout.halted.as_deref(), Some("permit 1 of d0 is overdue"));
-    assert!(matches!(ask(&mut rollout, "d2", 81_000), Reply::Refused(Refusal::Halted(_))));
+    assert!(matches!(request_permit(&mut rollout, "d2", 81_000), Reply::Refused(Refusal::Halted(_))));
     rollout.apply_command(Command::Resume { by: "ops".into() });
-    assert_eq!(rollout.directors_out(None), ["d0"], "it counts still");
-    assert_eq!(number(ask(&mut rollout, "d2", 82_000)), 2);
+    assert_eq!(rollout.directors_out(None), ["d0"], "an overdue permit still counts");
+    assert_eq!(permit_number(request_permit(&mut rollout, "d2", 82_000)), 2);
     assert!(rollout.audit.iter().any(|a| a.what == "halted: permit 1 of d0 is overdue"));
-    let again = Rollout::restore(&rollout.snapshot()).expect("own bytes");
-    assert_eq!(again, rollout);
+    let restored = Rollout::restore(&rollout.snapshot()).expect("a snapshot decodes");
+    assert_eq!(restored, rollout);
 }
 
 #[test]
-fn only_the_life_that_holds_a_permit_gives_it_back() {
+fn only_the_number_of_the_held_permit_returns_it() {
     let mut rollout = fleet();
-    assert_eq!(number(ask(&mut rollout, "d0", 20_000)), 1);
+    assert_eq!(permit_number(request_permit(&mut rollout, "d0", 20_000)), 1);
     rollout.apply_command(Command::Return { name: "d0".into(), number: 7 });
     assert_eq!(rollout.directors_out(None), ["d0"]);
     rollout.apply_command(Command::Return { name: "d0".into(), number: 1 });
     assert!(rollout.directors_out(None).is_empty());
-    assert_eq!(number(ask(&mut rollout, "d1", 22_000)), 2, "numbers only grow");
+    assert_eq!(permit_number(request_permit(&mut rollout, "d1", 22_000)), 2, "numbers only grow");
     assert_eq!(rollout.apply(&[250, 3]), Reply::Unreadable);
 }
 
 #[test]
-fn the_leader_tells_what_the_log_lacks_once_and_believes_a_return_after_a_second() {
+fn the_reconciler_proposes_each_change_once_and_reports_a_return_after_a_second() {
     let mut rollout = fleet();
     let budgets = rollout.budgets.clone();
-    let mut watch = Reconciler::new();
+    let mut reconciler = Reconciler::new();
     let member = |i: usize, incarnation, serving, in_fleet| Member {
         name: format!("d{i}"),
         hall: ["a", "a", "b", "b", "c"][i].into(),
@@ -118,26 +124,32 @@
         settings: String::new(),
     };
     let mut view: Vec<Member> = (0..5).map(|i| member(i, 1, true, true)).collect();
-    assert!(watch.reconcile_directors(20_000, &rollout, &budgets, &view, true).is_empty());
+    assert!(reconciler.reconcile_directors(20_000, &rollout, &budgets, &view, true).is_empty());
     view[3] = member(3, 1, false, false);
-    assert!(watch.reconcile_directors(20_050, &rollout, &budgets, &view, true).is_empty(), "not yet");
     assert!(
-        watch.reconcile_directors(20_400, &rollout, &budgets, &view, false).is_empty(),
-        "not on a view like that"
+        reconciler.reconcile_directors(20_050, &rollout, &budgets, &view, true).is_empty(),
+        "not absent for long enough"
+    );
+    assert!(
+        reconciler.reconcile_directors(20_400, &rollout, &budgets, &view, false).is_empty(),
+        "the view is unreliable"
+    );
+    let commands = reconciler.reconcile_directors(20_400, &rollout, &budgets, &view, true);
+    assert_eq!(commands.len(), 1);
+    assert!(
+        reconciler.reconcile_directors(20_450, &rollout, &budgets, &view, true).is_empty(),
+        "proposed only once"
     );
-    let told = watch.reconcile_directors(20_400, &rollout, &budgets, &view, true);
-    assert_eq!(told.len(), 1);
-    assert!(watch.reconcile_directors(20_450, &rollout, &budgets, &view, true).is_empty(), "once");
-    told.into_iter().for_each(|c| drop(rollout.apply_command(c)));
+    commands.into_iter().for_each(|c| drop(rollout.apply_command(c)));
     assert_eq!(rollout.directors_out(None), ["d3"]);
     view[3] = member(3, 2, true, true);
-    assert!(watch.reconcile_directors(21_000, &rollout, &budgets, &view, true).is_empty());
-    let told = watch.reconcile_directors(22_000, &rollout, &budgets, &view, true);
-    told.into_iter().for_each(|c| drop(rollout.apply_command(c)));
+    assert!(reconciler.reconcile_directors(21_000, &rollout, &budgets, &view, true).is_empty());
+    let commands = reconciler.reconcile_directors(22_000, &rollout, &budgets, &view, true);
+    commands.into_iter().for_each(|c| drop(rollout.apply_command(c)));
     assert!(rollout.directors_out(None).is_empty());
     // Other budgets in the leader's file are put in force.
-    let other = DisruptionBudgets { directors: 1, ..budgets };
-    let told = watch.reconcile_directors(23_000, &rollout, &other, &view, true);
-    told.into_iter().for_each(|c| drop(rollout.apply_command(c)));
+    let changed_budgets = DisruptionBudgets { directors: 1, ..budgets };
+    let commands = reconciler.reconcile_directors(23_000, &rollout, &changed_budgets, &view, true);
+    commands.into_iter().for_each(|c| drop(rollout.apply_command(c)));
     assert_eq!(rollout.budgets.directors, 1);
 }
--- a/crates/rollout/tests/permits.rs
+++ b/crates/rollout/tests/permits.rs
@@ -9,69 +9,69 @@
 
 /// What is planted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Plant {
-    Nothing,
+enum InjectedBug {
+    None,
     /// A permit that is overdue is free.
-    FreeOnExpiry,
+    ReleaseOnExpiry,
     /// What is lost without a permit does not count.
-    CountOnlyPermits,
+    IgnoreLostDirectors,
     /// A new leader begins with no permits.
-    ForgetAfterRestart,
+    NewLeaderDropsPermits,
     /// Any sight of its holder in service frees a permit, also of the life that was let go.
-    FreeOnAnySight,
+    ReleaseOnAnyReport,
     /// A holder acts on a permit that it gave back.
-    ActOnReturned,
+    UseReturnedPermit,
 }
 
 /// A process, as it truly is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    life: u64,
+    incarnation: u64,
     runs: bool,
     /// It left by a permit and has not run since.
-    by_permit: bool,
+    out_by_permit: bool,
     /// What it has heard of what is agreed, which may be old by now.
-    heard: Option<Vec<u8>>,
+    known_state: Option<Vec<u8>>,
     holder: PermitHolder,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    agreed: Vec<u8>,
+    replicated: Vec<u8>,
     processes: Vec<Process>,
     /// Commands under way: they may be agreed in any order, or lost with their leader.
-    under_way: Vec<Vec<u8>>,
-    asks: u8,
-    crashes: u8,
-    restarts: u8,
-    looks: u8,
-    expiries: u8,
-    leaders: u8,
+    in_flight: Vec<Vec<u8>>,
+    requests_left: u8,
+    crashes_left: u8,
+    restarts_left: u8,
+    reports_left: u8,
+    expiries_left: u8,
+    leader_changes_left: u8,
     /// A permit was given beside what was known to be out.
-    broken: bool,
+    budget_exceeded: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    Ask(usize),
-    Agree(usize),
-    Hear(usize),
+    RequestPermit(usize),
+    Commit(usize),
+    Learn(usize),
     Leave(usize),
-    Stay(usize),
+    ReturnPermit(usize),
     Crash(usize),
     Restart(usize),
-    Look(usize),
+    Report(usize),
     Expire,
     NewLeader,
 }
 
-struct World(Plant);
+struct PermitModel(InjectedBug);
 
 fn name(i: usize) -> String {
     format!("d{i}")
 }
 
-fn written(rollout: &Rollout) -> Vec<u8> {
+fn canonical_bytes(rollout: &Rollout) -> Vec<u8> {
     let mut rollout = rollout.clone();
     rollout.audit_total = 0;
     rollout.directors.values_mut().for_each(|d| d.refused = None);
@@ -79,43 +79,44 @@
     rollout.snapshot()
 }
 
-fn read(state: &State) -> Rollout {
-    Rollout::restore(&state.agreed).expect("own bytes")
+fn replicated_state(state: &State) -> Rollout {
+    Rollout::restore(&state.replicated).expect("a snapshot decodes")
 }
 
-impl World {
-    fn agree(&self, state: &mut State, command: &[u8]) {
-        let mut rollout = read(state);
+impl PermitModel {
+    fn commit(&self, state: &mut State, command: &[u8]) {
+        let mut rollout = replicated_state(state);
         // What is known to be out, counted apart from the code under test: a permit whose holder does not
         // truly run in a later life, or the last word agreed of it.
         let out = |r: &Rollout, state: &State| {
             let counts = |i: &usize| {
                 r.directors.get(&name(*i)).is_some_and(|d| d.standing == Standing::Absent)
-                    || given(state, r, *i)
+                    || holds_permit(state, r, *i)
             };
             (0..DIRECTORS).filter(counts).count()
         };
-        let before = (out(&rollout, state), rollout.last_permit);
-        if self.0 == Plant::CountOnlyPermits {
-            let mut blind = rollout.clone();
-            blind.directors.values_mut().for_each(|d| d.standing = Standing::Serving);
-            if let Reply::Permit(permit) = blind.apply(command)
+        let (out_before, last_permit_before) = (out(&rollout, state), rollout.last_permit);
+        if self.0 == InjectedBug::IgnoreLostDirectors {
+            let mut without_losses = rollout.clone();
+            without_losses.directors.values_mut().for_each(|d| d.standing = Standing::Serving);
+            if let Reply::Permit(permit) = without_losses.apply(command)
                 && permit.number > rollout.last_permit
             {
-                (rollout.last_permit, rollout.last_permit_ms) = (blind.last_permit, blind.last_permit_ms);
-                for (name, director) in blind.directors {
+                (rollout.last_permit, rollout.last_permit_ms) =
+                    (without_losses.last_permit, without_losses.last_permit_ms);
+                for (name, director) in without_losses.directors {
                     rollout.directors.entry(name).and_modify(|d| d.permit = director.permit);
                 }
             }
         }
         rollout.apply(command);
-        state.broken |= rollout.last_permit > before.1 && before.0 + 1 > BUDGET;
+        state.budget_exceeded |= rollout.last_permit > last_permit_before && out_before + 1 > BUDGET;
         match self.0 {
-            Plant::FreeOnExpiry => {
+            InjectedBug::ReleaseOnExpiry => {
                 rollout.directors.values_mut().for_each(|d| drop(d.permit.take_if(|p| p.overdue)));
                 rollout.halted = None;
             }
-            Plant::FreeOnAnySight => {
+            InjectedBug::ReleaseOnAnyReport => {
                 if let Ok(Command::Seen { name, standing: Standing::Serving, .. }) =
                     postcard::from_bytes(command)
                 {
@@ -124,18 +125,18 @@
             }
             _ => {}
         }
-        state.agreed = written(&rollout);
+        state.replicated = canonical_bytes(&rollout);
     }
 }
 
 /// A permit that is agreed and whose holder is truly not back.
-fn given(state: &State, rollout: &Rollout, i: usize) -> bool {
+fn holds_permit(state: &State, rollout: &Rollout, i: usize) -> bool {
     let permit = rollout.directors.get(&name(i)).and_then(|d| d.permit.as_ref());
-    let back = |life: u64| state.processes[i].runs && state.processes[i].life > life;
-    permit.is_some_and(|p| !back(p.incarnation)) || state.processes[i].by_permit
+    let back = |incarnation: u64| state.processes[i].runs && state.processes[i].incarnation > incarnation;
+    permit.is_some_and(|p| !back(p.incarnation)) || state.processes[i].out_by_permit
 }
 
-impl Model for World {
+impl Model for PermitModel {
     type State = State;
     type Action = Action;
 
@@ -164,51 +165,52 @@
         }
         let process = |i: usize| {
             let holder = PermitHolder::new(&name(i), 1);
-            Process { life: 1, runs: true, by_permit: false, heard: None, holder }
+            Process { incarnation: 1, runs: true, out_by_permit: false, known_state: None, holder }
         };
         vec![State {
-            agreed: written(&rollout),
+            replicated: canonical_bytes(&rollout),
             processes: (0..DIRECTORS).map(process).collect(),
-            under_way: Vec::new(),
-            asks: 2,
-            crashes: 1,
-            restarts: 1,
-            looks: 2,
-            expiries: 1,
-            leaders: 1,
-            broken: false,
+            in_flight: Vec::new(),
+            requests_left: 2,
+            crashes_left: 1,
+            restarts_left: 1,
+            reports_left: 2,
+            expiries_left: 1,
+            leader_changes_left: 1,
+            budget_exceeded: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (i, process) in state.processes.iter().enumerate() {
-            if state.asks > 0 && i < 2 {
-                actions.push(Action::Ask(i));
+            if state.requests_left > 0 && i < 2 {
+                actions.push(Action::RequestPermit(i));
             }
             if process.runs {
-                let permit =
-                    |bytes: &[u8]| process.holder.permit(&Rollout::restore(bytes).expect("own bytes"));
-                let holds = process.heard.as_deref().and_then(permit);
+                let permit = |bytes: &[u8]| {
+                    process.holder.permit(&Rollout::restore(bytes).expect("a snapshot decodes"))
+                };
+                let holds = process.known_state.as_deref().and_then(permit);
                 if holds.is_some() {
-                    actions.extend([Action::Leave(i), Action::Stay(i)]);
-                } else if permit(&state.agreed).is_some() {
-                    actions.push(Action::Hear(i));
+                    actions.extend([Action::Leave(i), Action::ReturnPermit(i)]);
+                } else if permit(&state.replicated).is_some() {
+                    actions.push(Action::Learn(i));
                 }
-                if state.crashes > 0 {
+                if state.crashes_left > 0 {
                     actions.push(Action::Crash(i));
                 }
-            } else if state.restarts > 0 {
+            } else if state.restarts_left > 0 {
                 actions.push(Action::Restart(i));
             }
-            if state.looks > 0 {
-                actions.push(Action::Look(i));
+            if state.reports_left > 0 {
+                actions.push(Action::Report(i));
             }
         }
-        actions.extend((0..state.under_way.len()).map(Action::Agree));
-        if state.expiries > 0 {
+        actions.extend((0..state.in_flight.len()).map(Action::Commit));
+        if state.expiries_left > 0 {
             actions.push(Action::Expire);
         }
-        if state.leaders > 0 {
+        if state.leader_changes_left > 0 {
             actions.push(Action::NewLeader);
         }
     }
@@ -216,47 +218,50 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Ask(i) => {
-                state.asks -= 1;
+            Action::RequestPermit(i) => {
+                state.requests_left -= 1;
                 let by = "test".to_owned();
-                state.under_way.push(Command::Ask { name: name(i), by, now_ms: 1 }.encode());
+                state.in_flight.push(Command::Ask { name: name(i), by, now_ms: 1 }.encode());
             }
-            Action::Agree(k) => {
-                let command = state.under_way.remove(k);
-                self.agree(&mut state, &command);
+            Action::Commit(k) => {
+                let command = state.in_flight.remove(k);
+                self.commit(&mut state, &command);
             }
-            Action::Hear(i) => state.processes[i].heard = Some(state.agreed.clone()),
+            Action::Learn(i) => state.processes[i].known_state = Some(state.replicated.clone()),
             Action::Leave(i) => {
                 let process = &mut state.processes[i];
-                let heard = Rollout::restore(process.heard.as_deref()?).expect("own bytes");
-                let HolderAction::Leave(Some(_)) = process.holder.poll(1, &heard) else { return None };
-                (process.runs, process.by_permit, process.heard) = (false, true, None);
+                let known_state =
+                    Rollout::restore(process.known_state.as_deref()?).expect("a snapshot decodes");
+                let HolderAction::Leave(Some(_)) = process.holder.poll(1, &known_state) else { return None };
+                (process.runs, process.out_by_permit, process.known_state) = (false, true, None);
             }
-            Action::Stay(i) => {
+            Action::ReturnPermit(i) => {
                 let process = &mut state.processes[i];
-                let heard = Rollout::restore(process.heard.as_deref()?).expect("own bytes");
-                let life = process.life;
-                state.under_way.push(process.holder.return_permit(&heard)?.encode());
-                if self.0 == Plant::ActOnReturned {
-                    process.holder = PermitHolder::new(&name(i), life);
+                let known_state =
+                    Rollout::restore(process.known_state.as_deref()?).expect("a snapshot decodes");
+                let incarnation = process.incarnation;
+                state.in_flight.push(process.holder.return_permit(&known_state)?.encode());
+                if self.0 == InjectedBug::UseReturnedPermit {
+                    process.holder = PermitHolder::new(&name(i), incarnation);
                 }
             }
             Action::Crash(i) => {
-                state.crashes -= 1;
+                state.crashes_left -= 1;
                 let process = &mut state.processes[i];
-                (process.runs, process.heard) = (false, None);
+                (process.runs, process.known_state) = (false, None);
             }
             Action::Restart(i) => {
-                state.restarts -= 1;
+                state.restarts_left -= 1;
                 let process = &mut state.processes[i];
-                (process.life, process.runs, process.by_permit) = (process.life + 1, true, false);
-                process.holder = PermitHolder::new(&name(i), process.life);
+                (process.incarnation, process.runs, process.out_by_permit) =
+                    (process.incarnation + 1, true, false);
+                process.holder = PermitHolder::new(&name(i), process.incarnation);
             }
-            Action::Look(i) => {
-                state.looks -= 1;
+            Action::Report(i) => {
+                state.reports_left -= 1;
                 let process = &state.processes[i];
                 let standing = if process.runs { Standing::Serving } else { Standing::Absent };
-                let (hall, incarnation) = ("a".to_owned(), process.life);
+                let (hall, incarnation) = ("a".to_owned(), process.incarnation);
                 let seen = Command::Seen {
                     name: name(i),
                     hall,
@@ -266,64 +271,67 @@
                     settings: String::new(),
                     now_ms: 1,
                 };
-                state.under_way.push(seen.encode());
+                state.in_flight.push(seen.encode());
             }
             Action::Expire => {
-                state.expiries -= 1;
-                state.under_way.push(Command::Time { now_ms: 5_000 }.encode());
+                state.expiries_left -= 1;
+                state.in_flight.push(Command::Time { now_ms: 5_000 }.encode());
             }
             Action::NewLeader => {
-                state.leaders -= 1;
-                state.under_way.clear(); // what was not agreed may be lost
-                if self.0 == Plant::ForgetAfterRestart {
-                    let mut rollout = read(&state);
+                state.leader_changes_left -= 1;
+                state.in_flight.clear(); // what was not agreed may be lost
+                if self.0 == InjectedBug::NewLeaderDropsPermits {
+                    let mut rollout = replicated_state(&state);
                     rollout.directors.values_mut().for_each(|d| d.permit = None);
-                    state.agreed = written(&rollout);
+                    state.replicated = canonical_bytes(&rollout);
                 }
             }
         }
-        state.under_way.sort(); // any of them may be agreed next: their order means nothing
+        state.in_flight.sort(); // any of them may be agreed next: their order means nothing
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("never more out by permit than the budget", |_, state: &State| {
-                state.processes.iter().filter(|p| p.by_permit).count() <= BUDGET
+                state.processes.iter().filter(|p| p.out_by_permit).count() <= BUDGET
             }),
-            Property::always("none given beside what is known to be out", |_, s: &State| !s.broken),
-            Property::sometimes("one leaves by permit and is back", |_, state: &State| {
-                let agreed = read(state);
-                agreed.last_permit > 0
-                    && agreed.directors.values().all(|d| !d.is_out() && agreed.halted.is_none())
+            Property::always("none granted beyond the budget of what is known to be out", |_, s: &State| {
+                !s.budget_exceeded
             }),
-            Property::sometimes("a second permit is given after the first is free", |_, state: &State| {
-                read(state).last_permit == 2
+            Property::sometimes("a director leaves by permit and returns", |_, state: &State| {
+                let rollout = replicated_state(state);
+                rollout.last_permit > 0
+                    && rollout.directors.values().all(|d| !d.is_out() && rollout.halted.is_none())
             }),
+            Property::sometimes(
+                "a second permit is granted after the first is released",
+                |_, state: &State| replicated_state(state).last_permit == 2,
+            ),
         ]
     }
 }
 
 #[test]
-fn no_interleaving_passes_a_budget() {
-    let checker = World(Plant::Nothing).checker().threads(4).spawn_bfs().join();
+fn no_interleaving_exceeds_a_budget() {
+    let checker = PermitModel(InjectedBug::None).checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
 }
 
 #[test]
-fn each_planted_error_is_found() {
-    for plant in [
-        Plant::FreeOnExpiry,
-        Plant::CountOnlyPermits,
-        Plant::ForgetAfterRestart,
-        Plant::FreeOnAnySight,
-        Plant::ActOnReturned,
+fn the_model_check_finds_each_injected_bug() {
+    for bug in [
+        InjectedBug::ReleaseOnExpiry,
+        InjectedBug::IgnoreLostDirectors,
+        InjectedBug::NewLeaderDropsPermits,
+        InjectedBug::ReleaseOnAnyReport,
+        InjectedBug::UseReturnedPermit,
     ] {
         let any = HasDiscoveries::AnyFailures;
-        let checker = World(plant).checker().threads(4).finish_when(any).spawn_bfs().join();
+        let checker = PermitModel(bug).checker().threads(4).finish_when(any).spawn_bfs().join();
         let found = checker.discoveries();
-        let broken = found.keys().any(|name| name.starts_with("never") || name.starts_with("none"));
-        assert!(broken, "{plant:?} is not found");
+        let violated = found.keys().any(|name| name.starts_with("never") || name.starts_with("none"));
+        assert!(violated, "{bug:?} is not found");
     }
 }
--- a/crates/rollout/tests/streamers.rs
+++ b/crates/rollout/tests/streamers.rs
@@ -8,7 +8,7 @@
     SharedDrains,
 };
 
-fn seen(k: u32, up: bool) -> ListedStreamer {
+fn listed(k: u32, up: bool) -> ListedStreamer {
     let hall = if k.is_multiple_of(2) { "a" } else { "b" };
     ListedStreamer { name: format!("s{k}"), hall: hall.into(), rack: k % 3, kb: 1_000, up, gone: false }
 }
@@ -25,11 +25,11 @@
         ..DisruptionBudgets::default()
     };
     let mut rollout = Rollout { budgets, ..Rollout::default() };
-    told(&mut rollout, (0..6).map(|k| seen(k, true)).collect(), 10_000);
+    report_streamers(&mut rollout, (0..6).map(|k| listed(k, true)).collect(), 10_000);
     rollout
 }
 
-fn told(rollout: &mut Rollout, seen: Vec<ListedStreamer>, now_ms: u64) {
+fn report_streamers(rollout: &mut Rollout, seen: Vec<ListedStreamer>, now_ms: u64) {
     rollout.apply_command(Command::Streamers { seen, warm_up_ms: 5_000, now_ms });
 }
 
@@ -41,70 +41,70 @@
     rollout.apply_command(Command::Open { scope, by: "ops".into(), now_ms });
 }
 
-fn refused(reply: Reply) -> Refusal {
+fn refusal(reply: Reply) -> Refusal {
     let Reply::Refused(why) = reply else { panic!("{reply:?}") };
     why
 }
 
 #[test]
-fn a_hall_is_drained_whole_or_not_at_all_and_drains_that_pass_a_share_together_are_refused() {
+fn a_scope_is_drained_whole_or_not_at_all_and_drains_that_exceed_a_share_are_refused() {
     let mut rollout = fleet();
-    let one = DrainScope::Streamer("s1".into());
+    let scope = DrainScope::Streamer("s1".into());
     assert_eq!(
-        drain(&mut rollout, one.clone(), 20_000),
+        drain(&mut rollout, scope.clone(), 20_000),
         Reply::Drained { number: 1, names: vec!["s1".into()] }
     );
-    assert_eq!(drain(&mut rollout, one, 20_000), Reply::Drained { number: 1, names: vec!["s1".into()] });
+    assert_eq!(drain(&mut rollout, scope, 20_000), Reply::Drained { number: 1, names: vec!["s1".into()] });
     // Its rack's other half would pass the rack's share.
     assert_eq!(
-        refused(drain(&mut rollout, DrainScope::Streamer("s4".into()), 20_000)).to_string(),
+        refusal(drain(&mut rollout, DrainScope::Streamer("s4".into()), 20_000)).to_string(),
         "budget of rack 1: 50% of its links may be out, 100% would be"
     );
     assert!(matches!(
-        refused(drain(&mut rollout, DrainScope::Hall("a".into()), 20_000)),
+        refusal(drain(&mut rollout, DrainScope::Hall("a".into()), 20_000)),
         Refusal::Streamers(4, ..)
     ));
-    assert_eq!(rollout.streamers_out().len(), 1, "all or none");
+    assert_eq!(rollout.streamers_out().len(), 1, "all of a scope or none");
     let hall = drain(&mut rollout, DrainScope::Hall("b".into()), 20_000);
     assert_eq!(hall, Reply::Drained { number: 2, names: vec!["s3".into(), "s5".into()] });
-    assert_eq!(refused(drain(&mut rollout, DrainScope::Hall("c".into()), 20_000)), Refusal::Unknown);
+    assert_eq!(refusal(drain(&mut rollout, DrainScope::Hall("c".into()), 20_000)), Refusal::Unknown);
     rollout.budgets.streamers = 6;
-    assert!(matches!(refused(drain(&mut rollout, DrainScope::Streamer("s0".into()), 20_000)),
+    assert!(matches!(refusal(drain(&mut rollout, DrainScope::Streamer("s0".into()), 20_000)),
         Refusal::Share(what, 66, 50) if what == "the fleet"));
 }
 
 #[test]
-fn what_is_not_in_service_counts_and_a_permit_is_free_only_when_warm_and_in_service() {
+fn streamers_not_in_service_count_as_out_and_a_permit_is_released_only_when_warm_and_in_service() {
     let mut rollout = fleet();
-    told(&mut rollout, vec![seen(0, false), seen(2, false)], 11_000);
-    let one = DrainScope::Streamer("s1".into());
-    drain(&mut rollout, one.clone(), 20_000);
+    report_streamers(&mut rollout, vec![listed(0, false), listed(2, false)], 11_000);
+    let scope = DrainScope::Streamer("s1".into());
+    drain(&mut rollout, scope.clone(), 20_000);
     assert!(matches!(
-        refused(drain(&mut rollout, DrainScope::Streamer("s3".into()), 20_000)),
+        refusal(drain(&mut rollout, DrainScope::Streamer("s3".into()), 20_000)),
         Refusal::Streamers(..)
     ));
     // It dies while it is drained, is opened, and is not free before it is in service and warm.
-    told(&mut rollout, vec![seen(1, false)], 21_000);
-    open(&mut rollout, one, 22_000);
+    report_streamers(&mut rollout, vec![listed(1, false)], 21_000);
+    open(&mut rollout, scope, 22_000);
     rollout.apply_command(Command::Time { now_ms: 30_000 });
     assert!(rollout.streamers["s1"].permit.is_some(), "not in service");
     assert!(!rollout.streamers["s1"].is_closed());
-    told(&mut rollout, vec![seen(1, true)], 31_000);
+    report_streamers(&mut rollout, vec![listed(1, true)], 31_000);
     assert!(rollout.streamers["s1"].permit.is_none());
     assert_eq!(rollout.streamers["s1"].opened_ms, 22_000);
     // One that the platform took out for good counts no longer.
-    told(&mut rollout, vec![ListedStreamer { gone: true, ..seen(0, false) }], 32_000);
+    report_streamers(&mut rollout, vec![ListedStreamer { gone: true, ..listed(0, false) }], 32_000);
     assert!(!rollout.streamers.contains_key("s0"));
-    let again = Rollout::restore(&rollout.snapshot()).expect("own bytes");
-    assert_eq!(again, rollout);
+    let restored = Rollout::restore(&rollout.snapshot()).expect("a snapshot decodes");
+    assert_eq!(restored, rollout);
 }
 
 #[test]
-fn one_that_is_opened_is_out_until_its_warm_up_is_over_and_one_that_is_late_halts_all() {
+fn a_reopened_streamer_is_out_until_warm_and_an_overdue_one_halts_all_permits() {
     let mut rollout = fleet();
-    let one = DrainScope::Streamer("s1".into());
-    drain(&mut rollout, one.clone(), 20_000);
-    open(&mut rollout, one, 25_000);
+    let scope = DrainScope::Streamer("s1".into());
+    drain(&mut rollout, scope.clone(), 20_000);
+    open(&mut rollout, scope, 25_000);
     assert_eq!(rollout.next_deadline_ms(), Some(30_000));
     rollout.apply_command(Command::Time { now_ms: 29_000 });
     assert!(rollout.streamers["s1"].is_out());
@@ -114,27 +114,30 @@
     rollout.apply_command(Command::Time { now_ms: 100_000 });
     assert_eq!(rollout.halted.as_deref(), Some("permit 2 of streamer s2 is overdue"));
     assert!(matches!(
-        refused(drain(&mut rollout, DrainScope::Streamer("s3".into()), 101_000)),
+        refusal(drain(&mut rollout, DrainScope::Streamer("s3".into()), 101_000)),
         Refusal::Halted(_)
     ));
-    assert!(rollout.streamers["s2"].is_closed(), "it stays closed");
+    assert!(rollout.streamers["s2"].is_closed(), "an overdue streamer stays closed");
 }
 
 #[test]
-fn the_leader_tells_of_streamers_what_the_log_lacks_and_only_that() {
+fn the_reconciler_reports_only_streamers_that_differ_from_the_state() {
     let mut rollout = fleet();
-    let mut watch = Reconciler::new();
-    let list = |up| (0..6).map(|k| seen(k, up || k != 3)).collect::<Vec<_>>();
-    assert!(watch.reconcile_streamers(50_000, &rollout, list(true), 5_000).is_none());
+    let mut reconciler = Reconciler::new();
+    let list = |up| (0..6).map(|k| listed(k, up || k != 3)).collect::<Vec<_>>();
+    assert!(reconciler.reconcile_streamers(50_000, &rollout, list(true), 5_000).is_none());
     let Some(Command::Streamers { seen, .. }) =
-        watch.reconcile_streamers(50_000, &rollout, list(false), 5_000)
+        reconciler.reconcile_streamers(50_000, &rollout, list(false), 5_000)
     else {
-        panic!("s3 is out")
+        panic!("expected a report of s3")
     };
     assert_eq!(seen.iter().map(|s| s.name.as_str()).collect::<Vec<_>>(), ["s3"]);
-    assert!(watch.reconcile_streamers(50_100, &rollout, list(false), 5_000).is_none(), "it is under way");
-    told(&mut rollout, seen, 50_200);
-    assert!(watch.reconcile_streamers(52_000, &rollout, list(false), 5_000).is_none());
+    assert!(
+        reconciler.reconcile_streamers(50_100, &rollout, list(false), 5_000).is_none(),
+        "already proposed"
+    );
+    report_streamers(&mut rollout, seen, 50_200);
+    assert!(reconciler.reconcile_streamers(52_000, &rollout, list(false), 5_000).is_none());
 }
 
 fn settings() -> Settings {
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn a_director_closes_what_is_drained_and_takes_what_is_opened_for_cold() {
+fn a_director_closes_drained_streamers_and_treats_reopened_ones_as_cold() {
     let mut drains = Drains::new(&settings());
     let entry = |k: u32| Entry {
         streamer: StreamerId(k),
@@ -156,16 +159,16 @@
     let named: Vec<(String, String)> = (0..2).map(|k| (format!("s{k}"), "a".into())).collect();
     let mut entries: Vec<Entry> = (0..2).map(entry).collect();
     drains.apply_list(ListScope::Full, &named, &mut entries);
-    assert!(entries.iter().all(|e| e.started_at.is_none()), "nothing is drained: nothing is changed");
+    assert!(entries.iter().all(|e| e.started_at.is_none()), "without drains, entries are unchanged");
     let mut state = fleet();
     drain(&mut state, DrainScope::Streamer("s1".into()), 20_000);
     assert!(drains.apply_agreed(&state).is_empty());
     assert!(drains.is_closed(StreamerId(1)) && !drains.is_closed(StreamerId(0)));
     open(&mut state, DrainScope::Streamer("s1".into()), 25_000);
-    let told = drains.apply_agreed(&state);
-    assert_eq!((told.len(), told[0].started_at), (1, Some(25_000_000)));
+    let reopened = drains.apply_agreed(&state);
+    assert_eq!((reopened.len(), reopened[0].started_at), (1, Some(25_000_000)));
     assert!(!drains.is_closed(StreamerId(1)));
-    assert!(drains.apply_agreed(&state).is_empty(), "told once");
+    assert!(drains.apply_agreed(&state).is_empty(), "reported only once");
     // The list tells it as one that runs since long ago: the later word stays.
     let mut entries = vec![entry(1)];
     drains.apply_list(ListScope::Delta, &named[1..], &mut entries);
