--- a/crates/rollout/tests/budgets.rs
+++ b/crates/rollout/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! What is given and refused, and what frees a permit.
+//! Tests of granting, refusing and releasing directors' permits.
 use stonewharf_rollout::{Command, DisruptionBudgets, Member, Reconciler, Refusal, Reply, Rollout, Standing};
 
 fn fleet() -> Rollout {
@@ -66,17 +66,17 @@
     report_director(&mut rollout, "d4", "c", 1, Standing::Absent, 11_000);
     assert_eq!(permit_number(request_permit(&mut rollout, "d0", 20_000)), 1);
     assert!(matches!(request_permit(&mut rollout, "d2", 22_000), Reply::Refused(Refusal::Fleet(..))));
-    // Its former life, seen late, proves nothing; neither does its going.
+    // A late report of the earlier incarnation is no proof of return, and neither is a report of its absence.
     report_director(&mut rollout, "d0", "a", 1, Standing::Serving, 23_000);
     report_director(&mut rollout, "d0", "a", 1, Standing::Absent, 24_000);
     assert_eq!(rollout.directors_out(None), ["d0", "d4"]);
     report_director(&mut rollout, "d0", "a", 2, Standing::Serving, 25_000);
     assert_eq!(rollout.directors_out(None), ["d4"]);
     assert_eq!(permit_number(request_permit(&mut rollout, "d2", 26_000)), 2);
-    // One that is gone for good: a person says so.
+    // An operator forgets a director that is gone permanently.
     rollout.apply_command(Command::Forget { name: "d4".into(), by: "ops".into() });
     assert_eq!(rollout.directors_out(None), ["d2"]);
-    // Nobody can forget one that serves.
+    // A director in service cannot be forgotten.
     rollout.apply_command(Command::Forget { name: "d1".into(), by: "ops".into() });
     assert!(rollout.directors.contains_key("d1"));
 }
@@ -147,7 +147,7 @@
     let commands = reconciler.reconcile_directors(22_000, &rollout, &budgets, &view, true);
     commands.into_iter().for_each(|c| drop(rollout.apply_command(c)));
     assert!(rollout.directors_out(None).is_empty());
-    // Other budgets in the leader's file are put in force.
+    // Changed budgets in the leader's file are put in force.
     let changed_budgets = DisruptionBudgets { directors: 1, ..budgets };
     let commands = reconciler.reconcile_directors(23_000, &rollout, &changed_budgets, &view, true);
     commands.into_iter().for_each(|c| drop(rollout.apply_command(c)));
--- a/crates/rollout/tests/holder.rs
+++ b/crates/rollout/tests/holder.rs
@@ -1,4 +1,4 @@
-//! Tests of `holder`.
+//! Tests of [`PermitHolder`]: how a director that is told to end requests, uses and returns a permit.
 use stonewharf_rollout::*;
 
 fn fleet() -> Rollout {
--- a/crates/rollout/tests/permits.rs
+++ b/crates/rollout/tests/permits.rs
@@ -1,36 +1,37 @@
-//! Every interleaving of two that ask, a crash, restarts, late and repeated news, an expiry and a change of
-//! leader, over the real state: never more out by permit than the budget, and none given beside what is
-//! known to be out (S1). Each planted error is found.
+//! Model check of permits over the real replicated state: every interleaving of two requests, a crash, a
+//! restart, late and repeated reports, an expiry and a change of leader. There are never more directors out
+//! by permit than the budget, and no permit is granted beyond the budget of what is known to be out (S1). The
+//! check has to find each injected bug.
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use stonewharf_rollout::{Command, DisruptionBudgets, HolderAction, PermitHolder, Reply, Rollout, Standing};
 
 const DIRECTORS: usize = 3;
 const BUDGET: usize = 1;
 
-/// What is planted.
+/// A bug injected into the state or the holder, which the check has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum InjectedBug {
     None,
-    /// A permit that is overdue is free.
+    /// An overdue permit is released.
     ReleaseOnExpiry,
-    /// What is lost without a permit does not count.
+    /// Directors lost without a permit do not count as out.
     IgnoreLostDirectors,
-    /// A new leader begins with no permits.
+    /// A new leader starts without the permits granted before.
     NewLeaderDropsPermits,
-    /// Any sight of its holder in service frees a permit, also of the life that was let go.
+    /// Any report of the holder in service releases a permit, even of the incarnation that was granted it.
     ReleaseOnAnyReport,
-    /// A holder acts on a permit that it gave back.
+    /// A holder uses a permit that it has returned.
     UseReturnedPermit,
 }
 
-/// A process, as it truly is.
+/// The actual state of a director's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     incarnation: u64,
     runs: bool,
-    /// It left by a permit and has not run since.
+    /// It left under a permit and has not run since.
     out_by_permit: bool,
-    /// What it has heard of what is agreed, which may be old by now.
+    /// The replicated state last received, which may be outdated.
     known_state: Option<Vec<u8>>,
     holder: PermitHolder,
 }
@@ -39,7 +40,7 @@
 struct State {
     replicated: Vec<u8>,
     processes: Vec<Process>,
-    /// Commands under way: they may be agreed in any order, or lost with their leader.
+    /// Commands in flight: they may be committed in any order, or lost with their leader.
     in_flight: Vec<Vec<u8>>,
     requests_left: u8,
     crashes_left: u8,
@@ -47,7 +48,7 @@
     reports_left: u8,
     expiries_left: u8,
     leader_changes_left: u8,
-    /// A permit was given beside what was known to be out.
+    /// A permit was granted beyond the budget of what was known to be out.
     budget_exceeded: bool,
 }
 
@@ -75,7 +76,7 @@
     let mut rollout = rollout.clone();
     rollout.audit_total = 0;
     rollout.directors.values_mut().for_each(|d| d.refused = None);
-    rollout.audit.clear(); // tells of the past, and would make every path a state of its own
+    rollout.audit.clear(); // the audit log records history, which would make each path a distinct state
     rollout.snapshot()
 }
 
@@ -86,8 +87,8 @@
 impl PermitModel {
     fn commit(&self, state: &mut State, command: &[u8]) {
         let mut rollout = replicated_state(state);
-        // What is known to be out, counted apart from the code under test: a permit whose holder does not
-        // truly run in a later life, or the last word agreed of it.
+        // Counts what is known to be out independently of the code under test: directors last reported
+        // absent, and holders of a permit that do not actually run in a later incarnation.
         let out = |r: &Rollout, state: &State| {
             let counts = |i: &usize| {
                 r.directors.get(&name(*i)).is_some_and(|d| d.standing == Standing::Absent)
@@ -129,7 +130,7 @@
     }
 }
 
-/// A permit that is agreed and whose holder is truly not back.
+/// Whether a director is out under a permit: it has not actually returned in a later incarnation.
 fn holds_permit(state: &State, rollout: &Rollout, i: usize) -> bool {
     let permit = rollout.directors.get(&name(i)).and_then(|d| d.permit.as_ref());
     let back = |incarnation: u64| state.processes[i].runs && state.processes[i].incarnation > incarnation;
@@ -279,7 +280,7 @@
             }
             Action::NewLeader => {
                 state.leader_changes_left -= 1;
-                state.in_flight.clear(); // what was not agreed may be lost
+                state.in_flight.clear(); // commands that are not committed may be lost
                 if self.0 == InjectedBug::NewLeaderDropsPermits {
                     let mut rollout = replicated_state(&state);
                     rollout.directors.values_mut().for_each(|d| d.permit = None);
@@ -287,7 +288,7 @@
                 }
             }
         }
-        state.in_flight.sort(); // any of them may be agreed next: their order means nothing
+        state.in_flight.sort(); // any of them may be committed next, so their order is irrelevant
         Some(state)
     }
 
--- a/crates/rollout/tests/releases.rs
+++ b/crates/rollout/tests/releases.rs
@@ -1,4 +1,4 @@
-//! Releases: waves, what halts one, the way back, and the test that judges a wave.
+//! Tests of releases: waves, halts, rollback, and the statistical test of a wave.
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use stonewharf_rollout::{
@@ -12,7 +12,8 @@
     format!("d{i}")
 }
 
-/// Ten directors of two halls, three out at once; a release to version 2 in waves of one, four and all.
+/// Ten directors in two halls, at most three out at once, and a release to version 2 in waves that reach one,
+/// four and all directors.
 struct Fleet {
     state: Rollout,
     now_ms: u64,
@@ -46,7 +47,7 @@
     }
 
     fn apply(&mut self, command: Command) -> Reply {
-        // Any director may lead from here on: what it knows is what is agreed.
+        // Any director may become leader here: nothing but the encoded state carries over.
         self.state = Rollout::restore(&self.state.snapshot()).expect("a snapshot decodes");
         self.state.apply_command(command)
     }
@@ -69,7 +70,7 @@
         self.apply(Command::ReleaseStep { name: name(i), by: "sup".into(), now_ms: self.now_ms })
     }
 
-    /// A supervisor's whole step.
+    /// Restarts a director as a supervisor does: permit, absence, and a new incarnation in service.
     fn restart(&mut self, i: usize, version: &str) {
         assert!(matches!(self.request_step(i), Reply::Permit(_)), "d{i}");
         self.report(i, Standing::Absent, "");
@@ -105,7 +106,7 @@
     fleet.restart(0, "2");
     assert!(fleet.watched());
     assert_eq!(fleet.request_step(0), Reply::Done, "already changed");
-    // A verdict of another watch changes nothing.
+    // A verdict on another watch is ignored.
     fleet.apply(Command::ReleasePassed { watch: 9, now_ms: 99_000 });
     assert!(refusal_text(fleet.request_step(1)).contains("wave 2"));
     fleet.pass_watch();
@@ -146,7 +147,7 @@
     fleet.incarnations[0] += 1;
     fleet.report(0, Standing::Serving, "2");
     assert!(matches!(fleet.phase(), Phase::Halted(why) if why.contains("was lost and is back")));
-    // An unchanged one that does is the record's matter.
+    // The same crash of an unchanged director is only audited.
     let mut fleet = Fleet::new();
     fleet.restart(0, "2");
     fleet.incarnations[7] += 1;
@@ -214,8 +215,8 @@
     assert_eq!(fleet.apply(start(good)), Reply::Done);
 }
 
-/// Watches a wave: each director takes so many requests a second and loses a share of them; what came of it,
-/// and after how many seconds.
+/// Watches a wave in which each director receives `requests_per_s` requests and loses a share of them.
+/// Returns the verdict, and after how many seconds it came.
 fn watch_wave(seed: u64, requests_per_s: u64, loss: f64, loss_of_changed: f64) -> (Verdict, f64) {
     let mut fleet = Fleet::new();
     fleet.restart(0, "2");
--- a/crates/rollout/tests/streamers.rs
+++ b/crates/rollout/tests/streamers.rs
@@ -1,4 +1,4 @@
-//! Drains of streamers: what is given and refused, what frees a permit, and what a director makes of it.
+//! Tests of drains of streamers: granting, refusing and releasing permits, and how a director applies drains.
 use stonewharf_core::{
     ClassId, Entry, ListScope, PlacementLimits, Request, RequestId, Settings, Standing, StreamerId, TitleId,
     ViewerId, ZoneId,
@@ -13,7 +13,7 @@
     ListedStreamer { name: format!("s{k}"), hall: hall.into(), rack: k % 3, kb: 1_000, up, gone: false }
 }
 
-/// Six streamers of two halls and three racks; half of the links may be out.
+/// Six streamers in two halls and three racks; half of the link capacity may be out.
 fn fleet() -> Rollout {
     let budgets = DisruptionBudgets {
         streamers: 3,
@@ -55,7 +55,7 @@
         Reply::Drained { number: 1, names: vec!["s1".into()] }
     );
     assert_eq!(drain(&mut rollout, scope, 20_000), Reply::Drained { number: 1, names: vec!["s1".into()] });
-    // Its rack's other half would pass the rack's share.
+    // Draining the rack's other streamer would exceed the share of the rack.
     assert_eq!(
         refusal(drain(&mut rollout, DrainScope::Streamer("s4".into()), 20_000)).to_string(),
         "budget of rack 1: 50% of its links may be out, 100% would be"
@@ -83,7 +83,7 @@
         refusal(drain(&mut rollout, DrainScope::Streamer("s3".into()), 20_000)),
         Refusal::Streamers(..)
     ));
-    // It dies while it is drained, is opened, and is not free before it is in service and warm.
+    // The streamer fails while drained and is reopened; its permit is held until it is in service and warm.
     report_streamers(&mut rollout, vec![listed(1, false)], 21_000);
     open(&mut rollout, scope, 22_000);
     rollout.apply_command(Command::Time { now_ms: 30_000 });
@@ -92,7 +92,7 @@
     report_streamers(&mut rollout, vec![listed(1, true)], 31_000);
     assert!(rollout.streamers["s1"].permit.is_none());
     assert_eq!(rollout.streamers["s1"].opened_ms, 22_000);
-    // One that the platform took out for good counts no longer.
+    // A streamer that the platform removed permanently no longer counts.
     report_streamers(&mut rollout, vec![ListedStreamer { gone: true, ..listed(0, false) }], 32_000);
     assert!(!rollout.streamers.contains_key("s0"));
     let restored = Rollout::restore(&rollout.snapshot()).expect("a snapshot decodes");
@@ -169,18 +169,18 @@
     assert_eq!((reopened.len(), reopened[0].started_at), (1, Some(25_000_000)));
     assert!(!drains.is_closed(StreamerId(1)));
     assert!(drains.apply_agreed(&state).is_empty(), "reported only once");
-    // The list tells it as one that runs since long ago: the later word stays.
+    // A list entry without the later start time does not undo it.
     let mut entries = vec![entry(1)];
     drains.apply_list(ListScope::Delta, &named[1..], &mut entries);
     assert_eq!(entries[0].started_at, Some(25_000_000));
-    // A drain that was agreed before this director heard of the streamer holds as well.
+    // A drain committed before this director knew of the streamer applies as well.
     let mut late = Drains::new(&settings());
     let mut state = fleet();
     drain(&mut state, DrainScope::Streamer("s1".into()), 20_000);
     late.apply_agreed(&state);
     late.apply_list(ListScope::Full, &named[1..], &mut [entry(1)]);
     assert!(late.is_closed(StreamerId(1)));
-    // As the module asks.
+    // The same through the placement limits, as the decision module uses them.
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
