--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -42,7 +42,7 @@
 pub struct ListedStreamer {
     /// Name on the list.
     pub name: String,
-    /// Hall of the member.
+    /// Hall of the streamer.
     pub hall: String,
     /// Rack of the streamer.
     pub rack: u32,
@@ -68,7 +68,7 @@
     Seen {
         /// Name of the director.
         name: String,
-        /// Hall of the member.
+        /// Hall of the director.
         hall: String,
         /// Incarnation that was observed.
         incarnation: u64,
@@ -99,7 +99,7 @@
     },
     /// Removes a director or streamer that is gone permanently, so that it no longer counts as out.
     Forget {
-        /// Name of the director.
+        /// Name of the director or streamer.
         name: String,
         /// Who issued the command.
         by: String,
--- a/crates/rollout/src/drains.rs
+++ b/crates/rollout/src/drains.rs
@@ -11,6 +11,7 @@
     Constraints, Entry, Event, ListScope, Micros, PlacementLimits, Request, Settings, Standing, StreamerId,
 };
 
+/// An entry of this director's list of streamers.
 struct ListedEntry {
     entry: Entry,
     hall: String,
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -58,6 +58,7 @@
     Halt(String),
 }
 
+/// First and latest counts of a director during a watch.
 #[derive(Clone, Copy)]
 struct CountRange {
     first: Health,
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -31,7 +31,7 @@
 /// A director in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Director {
-    /// Hall of the member.
+    /// Hall of the director.
     pub hall: String,
     /// Latest known incarnation.
     pub incarnation: u64,
--- a/crates/rollout/src/streamers.rs
+++ b/crates/rollout/src/streamers.rs
@@ -29,7 +29,7 @@
 /// A streamer in the replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Streamer {
-    /// Hall of the member.
+    /// Hall of the streamer.
     pub hall: String,
     /// Rack of the streamer.
     pub rack: u32,
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -23,9 +23,9 @@
 pub struct Member {
     /// Name of the director.
     pub name: String,
-    /// Hall of the member.
+    /// Hall of the director.
     pub hall: String,
-    /// Incarnation that counted.
+    /// Incarnation in the view.
     pub incarnation: u64,
     /// Whether it is in the fleet and in service.
     pub serving: bool,
@@ -37,6 +37,7 @@
     pub settings: String,
 }
 
+/// A member's state in the view, and since when it has been so.
 #[derive(Clone, Copy)]
 struct ObservedState {
     incarnation: u64,
@@ -48,6 +49,7 @@
 #[derive(Default)]
 pub struct Reconciler {
     observed: BTreeMap<String, ObservedState>,
+    /// Standing, incarnation and time (Unix milliseconds) of the latest proposal for each director.
     proposed: BTreeMap<String, (Standing, u64, u64)>,
     budgets_proposed_ms: u64,
     time_proposed_ms: u64,
