--- a/crates/rollout/src/drains.rs
+++ b/crates/rollout/src/drains.rs
@@ -1,7 +1,8 @@
-//! The agreed drains of streamers at one director, behind the core's seam: a drained streamer is closed, and
-//! one that was opened again is told to the module as started at that moment, so that all directors together
-//! take it for cold from one agreed time on and pace it as the module paces any cold one. Only narrows.
-use crate::command::StreamerSeen;
+//! The drains of the replicated state at one director, as placement limits for the core. A drained streamer
+//! is closed; a reopened one is reported to the decision module as started at the time of reopening, so that
+//! all directors treat it as cold from the same time on and pace it like any cold streamer. Drains only
+//! restrict placement.
+use crate::command::ListedStreamer;
 use crate::rollout::Rollout;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet};
@@ -10,119 +11,126 @@
     Constraints, Entry, Event, ListScope, Micros, PlacementLimits, Request, Settings, Standing, StreamerId,
 };
 
-struct Known {
+/// An entry of this director's list of streamers.
+struct ListedEntry {
     entry: Entry,
     hall: String,
-    /// The latest opening that the module was told of, by its own clock.
+    /// Time of the latest reopening reported to the decision module, by its own clock.
     opened_at: Micros,
 }
 
-/// The drains as one director has them.
+/// The drains known to one director.
 pub struct Drains {
     racks: u32,
     weight_kb: f64,
     warm_up_us: Micros,
-    known: BTreeMap<String, Known>,
+    listed: BTreeMap<String, ListedEntry>,
     closed: HashSet<StreamerId>,
-    /// Names that the agreed state has closed, and when it opened others last.
+    /// Names that the replicated state has closed.
     closed_names: HashSet<String>,
-    opened: BTreeMap<String, Micros>,
+    /// Time of the latest reopening of each streamer that was drained before, by name.
+    opened_us: BTreeMap<String, Micros>,
 }
 
 impl Drains {
-    /// A director that knows of no drain yet.
-    pub fn new(set: &Settings) -> Drains {
+    /// Creates the state of a director that knows of no drain yet.
+    pub fn new(settings: &Settings) -> Drains {
         Drains {
-            racks: set.racks.max(1),
-            weight_kb: set.weight_kb,
-            warm_up_us: set.warm_up_us,
-            known: BTreeMap::new(),
+            racks: settings.racks.max(1),
+            weight_kb: settings.weight_kb,
+            warm_up_us: settings.warm_up_us,
+            listed: BTreeMap::new(),
             closed: HashSet::new(),
             closed_names: HashSet::new(),
-            opened: BTreeMap::new(),
+            opened_us: BTreeMap::new(),
         }
     }
 
-    /// What was closed when this director last heard of it, in a life before: news that only narrow hold
-    /// until what is agreed is heard again.
-    pub fn remembered(&mut self, names: impl IntoIterator<Item = String>) {
+    /// Restores the drains that an earlier incarnation last knew of. As they only restrict placement, they
+    /// hold until the replicated state is received again.
+    pub fn restore_closed(&mut self, names: impl IntoIterator<Item = String>) {
         self.closed_names = names.into_iter().collect();
     }
 
-    /// Names of the streamers that are closed, in order.
+    /// Names of the closed streamers, sorted.
     pub fn closed_names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.closed_names.iter().cloned().collect();
         names.sort_unstable();
         names
     }
 
-    /// Takes the list's news, before the module does: `named` gives each entry's name and hall. A streamer
-    /// that was opened after it had started is told as started then.
-    pub fn list(&mut self, scope: ListScope, named: &[(String, String)], entries: &mut [Entry]) {
+    /// Applies an update of the list before the decision module receives it; `named` gives each entry's name
+    /// and hall. The start time of a streamer that was reopened after its start is set to the time of
+    /// reopening.
+    pub fn apply_list(&mut self, scope: ListScope, named: &[(String, String)], entries: &mut [Entry]) {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
-            self.known.values_mut().for_each(|k| k.entry.standing = Standing::Gone); // unless named below
+            self.listed.values_mut().for_each(|k| k.entry.standing = Standing::Gone); // unless listed below
         }
         for (entry, (name, hall)) in entries.iter_mut().zip(named) {
-            let opened_at = self.opened.get(name).copied().unwrap_or(0);
+            let opened_at = self.opened_us.get(name).copied().unwrap_or(0);
             if opened_at > 0 {
                 entry.started_at = entry.started_at.max(Some(opened_at));
             }
             if self.closed_names.contains(name) {
                 self.closed.insert(entry.streamer);
             }
-            self.known.insert(name.clone(), Known { entry: entry.clone(), hall: hall.clone(), opened_at });
+            self.listed
+                .insert(name.clone(), ListedEntry { entry: entry.clone(), hall: hall.clone(), opened_at });
         }
     }
 
-    /// Takes what is agreed; returns what the module has to be told of streamers that were opened.
-    pub fn agree(&mut self, state: &Rollout) -> Vec<Entry> {
-        let closed = state.streamers.iter().filter(|(_, s)| s.closed()).map(|(name, _)| name.clone());
+    /// Applies the replicated state; returns the entries of reopened streamers, to be passed to the decision
+    /// module.
+    pub fn apply_agreed(&mut self, state: &Rollout) -> Vec<Entry> {
+        let closed = state.streamers.iter().filter(|(_, s)| s.is_closed()).map(|(name, _)| name.clone());
         self.closed_names = closed.collect();
         let opened = state.streamers.iter().filter(|(_, s)| s.opened_ms > 0);
-        self.opened = opened.map(|(name, s)| (name.clone(), s.opened_ms.saturating_mul(1_000))).collect();
-        let of = |name: &String| self.known.get(name).map(|k| k.entry.streamer);
-        self.closed = self.closed_names.iter().filter_map(of).collect();
-        let mut told = Vec::new();
-        for (name, at) in &self.opened {
-            if let Some(known) = self.known.get_mut(name).filter(|k| k.opened_at < *at) {
-                known.opened_at = *at;
-                known.entry.started_at = known.entry.started_at.max(Some(*at));
-                told.push(known.entry.clone());
+        self.opened_us = opened.map(|(name, s)| (name.clone(), s.opened_ms.saturating_mul(1_000))).collect();
+        let id_of = |name: &String| self.listed.get(name).map(|k| k.entry.streamer);
+        self.closed = self.closed_names.iter().filter_map(id_of).collect();
+        let mut restarted = Vec::new();
+        for (name, at) in &self.opened_us {
+            if let Some(listed) = self.listed.get_mut(name).filter(|k| k.opened_at < *at) {
+                listed.opened_at = *at;
+                listed.entry.started_at = listed.entry.started_at.max(Some(*at));
+                restarted.push(listed.entry.clone());
             }
         }
-        told
+        restarted
     }
 
-    /// The streamers as this director's list has them, for the leader's watch.
-    pub fn seen(&self) -> Vec<StreamerSeen> {
-        let of = |(name, known): (&String, &Known)| StreamerSeen {
+    /// The streamers on this director's list, for
+    /// [`Reconciler::reconcile_streamers`](crate::Reconciler::reconcile_streamers).
+    pub fn listed_streamers(&self) -> Vec<ListedStreamer> {
+        let to_listed = |(name, listed): (&String, &ListedEntry)| ListedStreamer {
             name: name.clone(),
-            hall: known.hall.clone(),
-            rack: known.entry.cell % self.racks,
-            kb: (known.entry.weight * self.weight_kb).max(0.0) as u64,
-            up: known.entry.standing == Standing::Up,
-            gone: known.entry.standing == Standing::Gone,
+            hall: listed.hall.clone(),
+            rack: listed.entry.cell % self.racks,
+            kb: (listed.entry.weight * self.weight_kb).max(0.0) as u64,
+            up: listed.entry.standing == Standing::Up,
+            gone: listed.entry.standing == Standing::Gone,
         };
-        self.known.iter().map(of).collect()
+        self.listed.iter().map(to_listed).collect()
     }
 
-    /// How long a streamer is cold, milliseconds.
+    /// Duration of a streamer's warm-up, milliseconds.
     pub fn warm_up_ms(&self) -> u64 {
         self.warm_up_us / 1_000
     }
 
-    /// Whether a streamer is closed here.
-    pub fn closed(&self, streamer: StreamerId) -> bool {
+    /// Whether a streamer is closed for new sessions.
+    pub fn is_closed(&self, streamer: StreamerId) -> bool {
         self.closed.contains(&streamer)
     }
 }
 
-/// Drains that a controller asks through the seam, and its host changes by what is agreed.
+/// Drains shared between a controller, which consults them as placement limits, and its host, which updates
+/// them from the replicated state.
 #[derive(Clone)]
 pub struct SharedDrains(pub Rc<RefCell<Drains>>);
 
 impl SharedDrains {
-    /// The drains, to be handed to a controller and kept.
+    /// Wraps the drains for sharing with a controller.
     pub fn new(drains: Drains) -> Self {
         SharedDrains(Rc::new(RefCell::new(drains)))
     }
@@ -134,6 +142,6 @@
     fn attempt_sent(&mut self, _: Micros, _: &Request, _: StreamerId, _: usize) {}
 
     fn constraints(&self, _: Micros, _: &Request, streamer: StreamerId) -> Constraints {
-        Constraints { allowed: !self.0.borrow().closed(streamer), ..Constraints::NONE }
+        Constraints { allowed: !self.0.borrow().is_closed(streamer), ..Constraints::NONE }
     }
 }
--- a/crates/rollout/src/release.rs
+++ b/crates/rollout/src/release.rs
@@ -1,92 +1,94 @@
-//! A release, as agreed: which directors are changed in which wave, what halts it, and the way back. Any
-//! director that leads carries it on; one that is halted stays so until a person resumes it or takes it back.
-//! Who restarts processes is outside: a supervisor asks for each director's step.
+//! The release in the replicated state: which directors are changed in which wave, what halts the release,
+//! and how it is rolled back. Any new leader continues it; a halted release stays halted until an operator
+//! resumes it or rolls it back. Processes are restarted from outside: a supervisor requests a permit for each
+//! director's restart.
 use crate::command::{Refusal, Reply, Standing};
-use crate::rollout::{Director, Rollout, clipped};
+use crate::rollout::{Director, Rollout, truncated};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Directors that are lost beside the release, from which on the view of who is there is in doubt.
-const DOUBT_FROM: usize = 2;
+/// Number of directors lost independently of the release from which on the membership view is in doubt.
+const MIN_LOST_FOR_DOUBT: usize = 2;
 
-/// What is to change, and how.
+/// What a release changes, and in which steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Plan {
-    /// Its name, for the record. 1 to 16 characters.
+pub struct ReleasePlan {
+    /// Name of the release, for the audit log. 1 to 16 characters.
     pub name: String,
-    /// The program's version after it; empty: it does not change.
+    /// Version of the program after the release; empty if it does not change.
     pub version: String,
-    /// The digest of the operator file's settings after it, hexadecimal; empty: they do not change.
+    /// Digest of the operator file's settings after the release, in hexadecimal; empty if they do not change.
     pub settings: String,
-    /// Share of all directors that is changed after each wave, percent, rising to 100. A wave changes one at
-    /// least.
+    /// Percentage of all directors that is changed after each wave, rising to 100. Each wave changes at least
+    /// one.
     pub waves: Vec<u32>,
-    /// For how long each wave is watched at least, milliseconds.
+    /// Minimum time for which each wave is watched, milliseconds.
     pub watch_ms: u64,
 }
 
-/// Where a release stands.
+/// State of a release.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum Phase {
-    /// Wave after wave is changed.
+    /// Directors are changed wave by wave.
     Forward,
-    /// Nothing moves until a person says so; why.
+    /// Nothing moves until an operator resumes it or rolls it back; the reason.
     Halted(String),
-    /// What was changed is taken back, newest wave first.
+    /// Changed directors are rolled back, newest wave first.
     Back,
-    /// All are changed.
+    /// All directors are changed.
     Done,
-    /// All that was changed is back.
+    /// All changed directors are rolled back.
     Returned,
 }
 
-/// A director that was changed, or is being changed.
+/// A director that has been changed or is being changed.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Changed {
-    /// The wave that it belongs to, from 0.
+pub struct ChangedDirector {
+    /// Its wave, counted from 0.
     pub wave: usize,
-    /// What it ran before: version and settings.
+    /// Version and settings digest that it ran before.
     pub former: (String, String),
 }
 
-/// A release.
+/// A release and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Release {
-    /// The plan.
-    pub plan: Plan,
-    /// Where it stands.
+    /// Plan of the release.
+    pub plan: ReleasePlan,
+    /// Current state.
     pub phase: Phase,
-    /// The wave that is changed or watched, from 0.
+    /// The wave that is being changed or watched, counted from 0.
     pub wave: usize,
-    /// All directors in the order in which they are changed, halls in turn.
+    /// All directors in the order of change, alternating between halls.
     pub order: Vec<String>,
-    /// Those that were changed, or are being changed.
-    pub changed: BTreeMap<String, Changed>,
-    /// Since when all of this wave are changed and serve, Unix milliseconds.
+    /// Directors that have been changed or are being changed, by name.
+    pub changed: BTreeMap<String, ChangedDirector>,
+    /// Time since which all directors of this wave are changed and in service, Unix milliseconds.
     pub watched_since: Option<u64>,
-    /// Counts the waves that were watched, also those begun again: a verdict names what it judged.
+    /// Number of watches begun, including repeated ones. A verdict carries the number of the watch that it
+    /// judged.
     pub watches: u64,
 }
 
-/// Why a plan can't be carried out, and what can.
+/// Why a plan is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// Its name is empty or too long.
+    /// The name is empty or too long.
     #[error("name: 1 to 16 characters are allowed")]
     Name,
-    /// It changes nothing.
-    #[error("nothing changes: a version or settings are wanted")]
+    /// The plan changes neither version nor settings.
+    #[error("nothing changes: give a version or settings")]
     Nothing,
-    /// Its waves do not rise to all.
+    /// The percentages of the waves do not rise to 100, or there are too many.
     #[error("waves: up to 20 rising percentages are allowed, the last 100")]
     Waves,
-    /// A wave is watched for too short or too long.
+    /// The time for watching a wave is out of range.
     #[error("watch: 1 to 3600 s are allowed")]
     Watch,
 }
 
 impl PlanError {
-    /// The key of the plan that it is about; none where it is about the whole.
+    /// The invalid key of the plan; `None` if the error concerns the plan as a whole.
     pub fn key(self) -> Option<&'static str> {
         match self {
             PlanError::Name => Some("name"),
@@ -97,8 +99,8 @@
     }
 }
 
-impl Plan {
-    /// Whether it can be carried out.
+impl ReleasePlan {
+    /// Validates the plan.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.name.is_empty() || self.name.chars().count() > 16 {
             return Err(PlanError::Name);
@@ -106,8 +108,8 @@
         if self.version.is_empty() && self.settings.is_empty() {
             return Err(PlanError::Nothing);
         }
-        let rises = self.waves.windows(2).all(|w| w[0] < w[1]);
-        if !rises || self.waves.last() != Some(&100) || self.waves.len() > 20 {
+        let rising = self.waves.windows(2).all(|w| w[0] < w[1]);
+        if !rising || self.waves.last() != Some(&100) || self.waves.len() > 20 {
             return Err(PlanError::Waves);
         }
         if !(1_000..=3_600_000).contains(&self.watch_ms) {
@@ -116,59 +118,60 @@
         Ok(())
     }
 
-    /// Whether a director runs what this plan brings.
-    pub fn reached(&self, director: &Director) -> bool {
+    /// Whether a director runs the version and settings of this plan.
+    pub fn is_applied_to(&self, director: &Director) -> bool {
         (self.version.is_empty() || self.version == director.version)
             && (self.settings.is_empty() || self.settings == director.settings)
     }
 }
 
 impl Release {
-    /// How many of the order are changed after a wave.
-    fn until(&self, wave: usize) -> usize {
+    /// Number of directors, from the start of the order, that are changed after a wave.
+    fn directors_through(&self, wave: usize) -> usize {
         let percent = self.plan.waves.get(wave).copied().unwrap_or(100) as usize;
         let share = (self.order.len() * percent).div_ceil(100);
         share.max(wave + 1).min(self.order.len())
     }
 
-    /// The wave of a director.
+    /// The wave that changes a director; `None` if it is not part of the release.
     pub fn wave_of(&self, name: &str) -> Option<usize> {
-        let at = self.order.iter().position(|n| n == name)?;
-        (0..self.plan.waves.len()).find(|wave| at < self.until(*wave))
+        let position = self.order.iter().position(|n| n == name)?;
+        (0..self.plan.waves.len()).find(|wave| position < self.directors_through(*wave))
     }
 
-    /// Whether anything of it may still move.
-    pub fn open(&self) -> bool {
+    /// Whether the release is under way, including halted and rolling back.
+    pub fn is_active(&self) -> bool {
         matches!(self.phase, Phase::Forward | Phase::Halted(_) | Phase::Back)
     }
 
-    /// Whether its changed directors are watched now.
-    pub fn watched(&self) -> bool {
+    /// Whether the changed directors are being watched now.
+    pub fn is_watched(&self) -> bool {
         self.phase == Phase::Forward && self.watched_since.is_some()
     }
 }
 
 impl Rollout {
-    pub(crate) fn release_start(&mut self, plan: Plan, by: &str) -> Reply {
-        if self.release.as_ref().is_some_and(Release::open) {
+    pub(crate) fn start_release(&mut self, plan: ReleasePlan, by: &str) -> Reply {
+        if self.release.as_ref().is_some_and(Release::is_active) {
             return Reply::Refused(Refusal::Release("another release is under way".into()));
         }
         if let Err(why) = plan.check() {
             return Reply::Refused(Refusal::Release(why.to_string()));
         }
-        // Halls in turn, so that a wave is spread over them, and each has unchanged ones to compare with.
+        // Alternates between halls, so that a wave is spread over them and each hall has unchanged directors
+        // to compare with.
         let mut by_hall: BTreeMap<&str, Vec<&String>> = BTreeMap::new();
         let serving = self.directors.iter().filter(|(_, d)| d.standing == Standing::Serving);
         serving.for_each(|(name, d)| by_hall.entry(&d.hall).or_default().push(name));
         let longest = by_hall.values().map(Vec::len).max().unwrap_or(0);
         let nth = |n: usize| by_hall.values().filter_map(move |names| names.get(n)).map(|n| (*n).clone());
         let order: Vec<String> = (0..longest).flat_map(nth).collect();
-        if order.iter().all(|name| self.directors.get(name).is_some_and(|d| plan.reached(d))) {
+        if order.iter().all(|name| self.directors.get(name).is_some_and(|d| plan.is_applied_to(d))) {
             return Reply::Refused(Refusal::Release("all directors run that already".into()));
         }
         self.record(
             "",
-            format!("release {} of {} directors begins, by {}", plan.name, order.len(), clipped(by)),
+            format!("release {} of {} directors begins, by {}", plan.name, order.len(), truncated(by)),
         );
         self.release = Some(Release {
             plan,
@@ -179,14 +182,14 @@
             watched_since: None,
             watches: 0,
         });
-        self.release_looks();
+        self.update_release();
         Reply::Done
     }
 
-    /// A supervisor wants to restart a director for the release that is under way.
-    pub(crate) fn release_step(&mut self, name: &str, by: &str) -> Reply {
+    /// Handles a supervisor's request to restart a director for the active release.
+    pub(crate) fn step_release(&mut self, name: &str, by: &str) -> Reply {
         let refused = |why: String| Reply::Refused(Refusal::Release(why));
-        let Some(release) = self.release.clone().filter(Release::open) else {
+        let Some(release) = self.release.clone().filter(Release::is_active) else {
             return refused("no release is under way".into());
         };
         let Some(director) = self.directors.get(name).cloned() else {
@@ -195,23 +198,23 @@
         if let Some(permit) = &director.permit {
             return Reply::Permit(permit.clone());
         }
-        let by = format!("{} {}", release.plan.name, clipped(by));
+        let by = format!("{} {}", release.plan.name, truncated(by));
         match release.phase {
             Phase::Halted(why) => Reply::Refused(Refusal::Halted(why)),
             Phase::Forward => {
-                if release.plan.reached(&director) {
+                if release.plan.is_applied_to(&director) {
                     return Reply::Done;
                 }
                 let Some(wave) = release.wave_of(name) else {
-                    return refused(format!("{name} came after the release began; it is not part of it"));
+                    return refused(format!("{name} joined after the release began and is not part of it"));
                 };
                 if wave != release.wave {
-                    return refused(format!("wave {} is not yet there", wave + 1));
+                    return refused(format!("wave {} has not started yet", wave + 1));
                 }
-                let reply = self.ask(name, &by);
+                let reply = self.request_permit(name, &by);
                 if let (Reply::Permit(_), Some(release)) = (&reply, &mut self.release) {
                     let former = (director.version, director.settings);
-                    release.changed.entry(name.to_owned()).or_insert(Changed { wave, former });
+                    release.changed.entry(name.to_owned()).or_insert(ChangedDirector { wave, former });
                 }
                 reply
             }
@@ -219,19 +222,19 @@
                 let Some(changed) = release.changed.get(name) else { return Reply::Done };
                 let newest = release.changed.values().map(|c| c.wave).max();
                 if newest != Some(changed.wave) {
-                    return refused(format!("wave {} goes back first", newest.unwrap_or(0) + 1));
+                    return refused(format!("wave {} has to be rolled back first", newest.unwrap_or(0) + 1));
                 }
-                self.ask(name, &by)
+                self.request_permit(name, &by)
             }
             Phase::Done | Phase::Returned => refused("no release is under way".into()),
         }
     }
 
-    /// The leader's verdict on a watch.
-    pub(crate) fn release_passed(&mut self, watch: u64) {
+    /// Ends a watch that passed: moves on to the next wave, or completes the release.
+    pub(crate) fn pass_wave(&mut self, watch: u64) {
         let Some(release) = &mut self.release else { return };
-        if !release.watched() || release.watches != watch {
-            return; // of a watch that is over
+        if !release.is_watched() || release.watches != watch {
+            return; // the verdict is about an earlier watch
         }
         let (wave, last) = (release.wave, release.wave + 1 >= release.plan.waves.len());
         release.watched_since = None;
@@ -241,13 +244,13 @@
             release.wave += 1;
         }
         let name = release.plan.name.clone();
-        let told = if last { "; it is done" } else { "" };
-        self.record("", format!("release {name}: wave {} passed{told}", wave + 1));
-        self.release_looks();
+        let suffix = if last { "; it is done" } else { "" };
+        self.record("", format!("release {name}: wave {} passed{suffix}", wave + 1));
+        self.update_release();
     }
 
-    /// Halts a release that moves; one that goes back goes on.
-    pub(crate) fn release_halt(&mut self, why: String) {
+    /// Halts a release that moves forward; a rollback is not stopped.
+    pub(crate) fn halt_release(&mut self, why: String) {
         let Some(release) = self.release.as_mut().filter(|r| r.phase == Phase::Forward) else { return };
         release.phase = Phase::Halted(why.clone());
         release.watched_since = None;
@@ -255,56 +258,58 @@
         self.record("", format!("release {name} halted: {why}"));
     }
 
-    pub(crate) fn release_resume(&mut self, by: &str) -> Reply {
+    pub(crate) fn resume_release(&mut self, by: &str) -> Reply {
         let Some(release) = self.release.as_mut().filter(|r| matches!(r.phase, Phase::Halted(_))) else {
             return Reply::Refused(Refusal::Release("no release is halted".into()));
         };
         release.phase = Phase::Forward;
         let name = release.plan.name.clone();
-        self.record("", format!("release {name} resumed by {}", clipped(by)));
-        self.release_looks();
+        self.record("", format!("release {name} resumed by {}", truncated(by)));
+        self.update_release();
         Reply::Done
     }
 
-    pub(crate) fn release_back(&mut self, by: &str) -> Reply {
-        let Some(release) = self.release.as_mut().filter(|r| r.open() || r.phase == Phase::Done) else {
+    pub(crate) fn roll_back_release(&mut self, by: &str) -> Reply {
+        let Some(release) = self.release.as_mut().filter(|r| r.is_active() || r.phase == Phase::Done) else {
             return Reply::Refused(Refusal::Release("there is no release to take back".into()));
         };
         release.phase = Phase::Back;
         release.watched_since = None;
         let name = release.plan.name.clone();
-        self.record("", format!("release {name} goes back, by {}", clipped(by)));
-        self.release_looks();
+        self.record("", format!("release {name} goes back, by {}", truncated(by)));
+        self.update_release();
         Reply::Done
     }
 
-    /// What is seen of the directors moves the release: a wave that is changed is watched, one that went
-    /// wrong halts, what is back is taken off.
-    pub(crate) fn release_looks(&mut self) {
+    /// Updates the release by the state of the directors: starts or ends the watch of a wave, halts on a
+    /// fault, and during a rollback removes the directors that are restored.
+    pub(crate) fn update_release(&mut self) {
         let Some(release) = self.release.clone() else { return };
-        let serves = |name: &str| {
+        let serving = |name: &str| {
             let director = self.directors.get(name)?;
             (director.standing == Standing::Serving && director.permit.is_none()).then_some(director)
         };
         match release.phase {
             Phase::Forward => {
-                if let Some(why) = self.release_wrong(&release) {
-                    return self.release_halt(why);
+                if let Some(why) = self.release_fault(&release) {
+                    return self.halt_release(why);
                 }
-                let members = release.order.iter().take(release.until(release.wave));
-                let ready = members.clone().all(|name| serves(name).is_some_and(|d| release.plan.reached(d)));
+                let members = release.order.iter().take(release.directors_through(release.wave));
+                let ready =
+                    members.clone().all(|name| serving(name).is_some_and(|d| release.plan.is_applied_to(d)));
                 if let Some(release) = self.release.as_mut().filter(|r| ready != r.watched_since.is_some()) {
                     release.watched_since = ready.then_some(self.now_ms);
                     release.watches += u64::from(ready);
                 }
             }
             Phase::Back => {
-                let back = |(name, c): &(&String, &Changed)| {
-                    serves(name).is_some_and(|d| (&d.version, &d.settings) == (&c.former.0, &c.former.1))
+                let is_restored = |(name, c): &(&String, &ChangedDirector)| {
+                    serving(name).is_some_and(|d| (&d.version, &d.settings) == (&c.former.0, &c.former.1))
                 };
-                let back: Vec<String> = release.changed.iter().filter(back).map(|(n, _)| n.clone()).collect();
+                let restored: Vec<String> =
+                    release.changed.iter().filter(is_restored).map(|(n, _)| n.clone()).collect();
                 let Some(release) = &mut self.release else { return };
-                back.iter().for_each(|name| drop(release.changed.remove(name)));
+                restored.iter().for_each(|name| drop(release.changed.remove(name)));
                 if release.changed.is_empty() {
                     release.phase = Phase::Returned;
                     let name = release.plan.name.clone();
@@ -315,33 +320,33 @@
         }
     }
 
-    /// A director is back that was let go by nobody.
-    pub(crate) fn release_restarted(&mut self, name: &str) {
+    /// Halts the release if a director that it changed has restarted without a permit.
+    pub(crate) fn halt_after_unplanned_restart(&mut self, name: &str) {
         if self.release.as_ref().is_some_and(|r| r.changed.contains_key(name)) {
-            self.release_halt(format!("{name}, changed in it, was lost and is back"));
+            self.halt_release(format!("{name}, changed in it, was lost and is back"));
         }
     }
 
-    fn release_wrong(&self, release: &Release) -> Option<String> {
+    fn release_fault(&self, release: &Release) -> Option<String> {
         let lost = |name: &&String| {
             self.directors.get(*name).is_some_and(|d| d.standing == Standing::Absent && d.permit.is_none())
         };
         if let Some(name) = release.changed.keys().find(lost) {
             return Some(format!("{name}, changed in it, was lost"));
         }
-        let others = self.directors.keys().filter(lost).count();
-        if others >= DOUBT_FROM {
-            return Some(format!("{others} directors are lost: who is there is in doubt"));
+        let lost_directors = self.directors.keys().filter(lost).count();
+        if lost_directors >= MIN_LOST_FOR_DOUBT {
+            return Some(format!("{lost_directors} directors are lost: who is there is in doubt"));
         }
         if let Some(why) = &self.halted {
             return Some(why.clone());
         }
-        let wrong = |(name, _): &(&String, &Changed)| {
+        let not_updated = |(name, _): &(&String, &ChangedDirector)| {
             self.directors.get(*name).is_some_and(|d| {
-                d.standing == Standing::Serving && d.permit.is_none() && !release.plan.reached(d)
+                d.standing == Standing::Serving && d.permit.is_none() && !release.plan.is_applied_to(d)
             })
         };
-        let (name, _) = release.changed.iter().find(wrong)?;
+        let (name, _) = release.changed.iter().find(not_updated)?;
         Some(format!("{name} came back without what the release brings"))
     }
 }
--- a/crates/rollout/tests/permits.rs
+++ b/crates/rollout/tests/permits.rs
@@ -1,121 +1,123 @@
-//! Every interleaving of two that ask, a crash, restarts, late and repeated news, an expiry and a change of
-//! leader, over the real state: never more out by permit than the budget, and none given beside what is
-//! known to be out (S1). Each planted error is found.
+//! Model check of permits over the real replicated state: every interleaving of two requests, a crash, a
+//! restart, late and repeated reports, an expiry and a change of leader. There are never more directors out
+//! by permit than the budget, and no permit is granted beyond the budget of what is known to be out (S1). The
+//! check has to find each injected bug.
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use stonewharf_rollout::{Command, Holder, OutSettings, Reply, Rollout, Standing, Step};
+use stonewharf_rollout::{Command, DisruptionBudgets, HolderAction, PermitHolder, Reply, Rollout, Standing};
 
 const DIRECTORS: usize = 3;
 const BUDGET: usize = 1;
 
-/// What is planted.
+/// A bug injected into the state or the holder, which the check has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Plant {
-    Nothing,
-    /// A permit that is overdue is free.
-    FreeOnExpiry,
-    /// What is lost without a permit does not count.
-    CountOnlyPermits,
-    /// A new leader begins with no permits.
-    ForgetAfterRestart,
-    /// Any sight of its holder in service frees a permit, also of the life that was let go.
-    FreeOnAnySight,
-    /// A holder acts on a permit that it gave back.
-    ActOnReturned,
+enum InjectedBug {
+    None,
+    /// An overdue permit is released.
+    ReleaseOnExpiry,
+    /// Directors lost without a permit do not count as out.
+    IgnoreLostDirectors,
+    /// A new leader starts without the permits granted before.
+    NewLeaderDropsPermits,
+    /// Any report of the holder in service releases a permit, even of the incarnation that was granted it.
+    ReleaseOnAnyReport,
+    /// A holder uses a permit that it has returned.
+    UseReturnedPermit,
 }
 
-/// A process, as it truly is.
+/// The actual state of a director's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    life: u64,
+    incarnation: u64,
     runs: bool,
-    /// It left by a permit and has not run since.
-    by_permit: bool,
-    /// What it has heard of what is agreed, which may be old by now.
-    heard: Option<Vec<u8>>,
-    holder: Holder,
+    /// It left under a permit and has not run since.
+    out_by_permit: bool,
+    /// The replicated state last received, which may be outdated.
+    known_state: Option<Vec<u8>>,
+    holder: PermitHolder,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    agreed: Vec<u8>,
+    replicated: Vec<u8>,
     processes: Vec<Process>,
-    /// Commands under way: they may be agreed in any order, or lost with their leader.
-    under_way: Vec<Vec<u8>>,
-    asks: u8,
-    crashes: u8,
-    restarts: u8,
-    looks: u8,
-    expiries: u8,
-    leaders: u8,
-    /// A permit was given beside what was known to be out.
-    broken: bool,
+    /// Commands in flight: they may be committed in any order, or lost with their leader.
+    in_flight: Vec<Vec<u8>>,
+    requests_left: u8,
+    crashes_left: u8,
+    restarts_left: u8,
+    reports_left: u8,
+    expiries_left: u8,
+    leader_changes_left: u8,
+    /// A permit was granted beyond the budget of what was known to be out.
+    budget_exceeded: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    Ask(usize),
-    Agree(usize),
-    Hear(usize),
+    RequestPermit(usize),
+    Commit(usize),
+    Learn(usize),
     Leave(usize),
-    Stay(usize),
+    ReturnPermit(usize),
     Crash(usize),
     Restart(usize),
-    Look(usize),
+    Report(usize),
     Expire,
     NewLeader,
 }
 
-struct World(Plant);
+struct PermitModel(InjectedBug);
 
 fn name(i: usize) -> String {
     format!("d{i}")
 }
 
-fn written(rollout: &Rollout) -> Vec<u8> {
+fn canonical_bytes(rollout: &Rollout) -> Vec<u8> {
     let mut rollout = rollout.clone();
-    rollout.lines = 0;
+    rollout.audit_total = 0;
     rollout.directors.values_mut().for_each(|d| d.refused = None);
-    rollout.audit.clear(); // tells of the past, and would make every path a state of its own
+    rollout.audit.clear(); // the audit log records history, which would make each path a distinct state
     rollout.snapshot()
 }
 
-fn read(state: &State) -> Rollout {
-    Rollout::restore(&state.agreed).expect("own bytes")
+fn replicated_state(state: &State) -> Rollout {
+    Rollout::restore(&state.replicated).expect("a snapshot decodes")
 }
 
-impl World {
-    fn agree(&self, state: &mut State, command: &[u8]) {
-        let mut rollout = read(state);
-        // What is known to be out, counted apart from the code under test: a permit whose holder does not
-        // truly run in a later life, or the last word agreed of it.
+impl PermitModel {
+    fn commit(&self, state: &mut State, command: &[u8]) {
+        let mut rollout = replicated_state(state);
+        // Counts what is known to be out independently of the code under test: directors last reported
+        // absent, and holders of a permit that do not actually run in a later incarnation.
         let out = |r: &Rollout, state: &State| {
             let counts = |i: &usize| {
                 r.directors.get(&name(*i)).is_some_and(|d| d.standing == Standing::Absent)
-                    || given(state, r, *i)
+                    || holds_permit(state, r, *i)
             };
             (0..DIRECTORS).filter(counts).count()
         };
-        let before = (out(&rollout, state), rollout.last);
-        if self.0 == Plant::CountOnlyPermits {
-            let mut blind = rollout.clone();
-            blind.directors.values_mut().for_each(|d| d.standing = Standing::Serving);
-            if let Reply::Permit(permit) = blind.apply(command)
-                && permit.number > rollout.last
+        let (out_before, last_permit_before) = (out(&rollout, state), rollout.last_permit);
+        if self.0 == InjectedBug::IgnoreLostDirectors {
+            let mut without_losses = rollout.clone();
+            without_losses.directors.values_mut().for_each(|d| d.standing = Standing::Serving);
+            if let Reply::Permit(permit) = without_losses.apply(command)
+                && permit.number > rollout.last_permit
             {
-                (rollout.last, rollout.last_ms) = (blind.last, blind.last_ms);
-                for (name, director) in blind.directors {
+                (rollout.last_permit, rollout.last_permit_ms) =
+                    (without_losses.last_permit, without_losses.last_permit_ms);
+                for (name, director) in without_losses.directors {
                     rollout.directors.entry(name).and_modify(|d| d.permit = director.permit);
                 }
             }
         }
         rollout.apply(command);
-        state.broken |= rollout.last > before.1 && before.0 + 1 > BUDGET;
+        state.budget_exceeded |= rollout.last_permit > last_permit_before && out_before + 1 > BUDGET;
         match self.0 {
-            Plant::FreeOnExpiry => {
+            InjectedBug::ReleaseOnExpiry => {
                 rollout.directors.values_mut().for_each(|d| drop(d.permit.take_if(|p| p.overdue)));
                 rollout.halted = None;
             }
-            Plant::FreeOnAnySight => {
+            InjectedBug::ReleaseOnAnyReport => {
                 if let Ok(Command::Seen { name, standing: Standing::Serving, .. }) =
                     postcard::from_bytes(command)
                 {
@@ -124,35 +126,35 @@
             }
             _ => {}
         }
-        state.agreed = written(&rollout);
+        state.replicated = canonical_bytes(&rollout);
     }
 }
 
-/// A permit that is agreed and whose holder is truly not back.
-fn given(state: &State, rollout: &Rollout, i: usize) -> bool {
+/// Whether a director is out under a permit: it has not actually returned in a later incarnation.
+fn holds_permit(state: &State, rollout: &Rollout, i: usize) -> bool {
     let permit = rollout.directors.get(&name(i)).and_then(|d| d.permit.as_ref());
-    let back = |life: u64| state.processes[i].runs && state.processes[i].life > life;
-    permit.is_some_and(|p| !back(p.incarnation)) || state.processes[i].by_permit
+    let back = |incarnation: u64| state.processes[i].runs && state.processes[i].incarnation > incarnation;
+    permit.is_some_and(|p| !back(p.incarnation)) || state.processes[i].out_by_permit
 }
 
-impl Model for World {
+impl Model for PermitModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let budget = BUDGET as u32;
-        let budgets = OutSettings {
+        let budgets = DisruptionBudgets {
             directors: budget,
             directors_of_hall: budget,
             step_ms: 0,
             longest_ms: 1_000,
             ask_ms: 0,
-            ..OutSettings::default()
+            ..DisruptionBudgets::default()
         };
         let mut rollout = Rollout { budgets, ..Rollout::default() };
         for i in 0..DIRECTORS {
             let (hall, standing) = ("a".to_owned(), Standing::Serving);
-            rollout.take(Command::Seen {
+            rollout.apply_command(Command::Seen {
                 name: name(i),
                 hall,
                 incarnation: 1,
@@ -163,52 +165,53 @@
             });
         }
         let process = |i: usize| {
-            let holder = Holder::new(&name(i), 1);
-            Process { life: 1, runs: true, by_permit: false, heard: None, holder }
+            let holder = PermitHolder::new(&name(i), 1);
+            Process { incarnation: 1, runs: true, out_by_permit: false, known_state: None, holder }
         };
         vec![State {
-            agreed: written(&rollout),
+            replicated: canonical_bytes(&rollout),
             processes: (0..DIRECTORS).map(process).collect(),
-            under_way: Vec::new(),
-            asks: 2,
-            crashes: 1,
-            restarts: 1,
-            looks: 2,
-            expiries: 1,
-            leaders: 1,
-            broken: false,
+            in_flight: Vec::new(),
+            requests_left: 2,
+            crashes_left: 1,
+            restarts_left: 1,
+            reports_left: 2,
+            expiries_left: 1,
+            leader_changes_left: 1,
+            budget_exceeded: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (i, process) in state.processes.iter().enumerate() {
-            if state.asks > 0 && i < 2 {
-                actions.push(Action::Ask(i));
+            if state.requests_left > 0 && i < 2 {
+                actions.push(Action::RequestPermit(i));
             }
             if process.runs {
-                let permit =
-                    |bytes: &[u8]| process.holder.permit(&Rollout::restore(bytes).expect("own bytes"));
-                let holds = process.heard.as_deref().and_then(permit);
+                let permit = |bytes: &[u8]| {
+                    process.holder.permit(&Rollout::restore(bytes).expect("a snapshot decodes"))
+                };
+                let holds = process.known_state.as_deref().and_then(permit);
                 if holds.is_some() {
-                    actions.extend([Action::Leave(i), Action::Stay(i)]);
-                } else if permit(&state.agreed).is_some() {
-                    actions.push(Action::Hear(i));
+                    actions.extend([Action::Leave(i), Action::ReturnPermit(i)]);
+                } else if permit(&state.replicated).is_some() {
+                    actions.push(Action::Learn(i));
                 }
-                if state.crashes > 0 {
+                if state.crashes_left > 0 {
                     actions.push(Action::Crash(i));
                 }
-            } else if state.restarts > 0 {
+            } else if state.restarts_left > 0 {
                 actions.push(Action::Restart(i));
             }
-            if state.looks > 0 {
-                actions.push(Action::Look(i));
+            if state.reports_left > 0 {
+                actions.push(Action::Report(i));
             }
         }
-        actions.extend((0..state.under_way.len()).map(Action::Agree));
-        if state.expiries > 0 {
+        actions.extend((0..state.in_flight.len()).map(Action::Commit));
+        if state.expiries_left > 0 {
             actions.push(Action::Expire);
         }
-        if state.leaders > 0 {
+        if state.leader_changes_left > 0 {
             actions.push(Action::NewLeader);
         }
     }
@@ -216,47 +219,50 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Ask(i) => {
-                state.asks -= 1;
+            Action::RequestPermit(i) => {
+                state.requests_left -= 1;
                 let by = "test".to_owned();
-                state.under_way.push(Command::Ask { name: name(i), by, now_ms: 1 }.write());
+                state.in_flight.push(Command::Ask { name: name(i), by, now_ms: 1 }.encode());
             }
-            Action::Agree(k) => {
-                let command = state.under_way.remove(k);
-                self.agree(&mut state, &command);
+            Action::Commit(k) => {
+                let command = state.in_flight.remove(k);
+                self.commit(&mut state, &command);
             }
-            Action::Hear(i) => state.processes[i].heard = Some(state.agreed.clone()),
+            Action::Learn(i) => state.processes[i].known_state = Some(state.replicated.clone()),
             Action::Leave(i) => {
                 let process = &mut state.processes[i];
-                let heard = Rollout::restore(process.heard.as_deref()?).expect("own bytes");
-                let Step::Leave(Some(_)) = process.holder.look(1, &heard) else { return None };
-                (process.runs, process.by_permit, process.heard) = (false, true, None);
+                let known_state =
+                    Rollout::restore(process.known_state.as_deref()?).expect("a snapshot decodes");
+                let HolderAction::Leave(Some(_)) = process.holder.poll(1, &known_state) else { return None };
+                (process.runs, process.out_by_permit, process.known_state) = (false, true, None);
             }
-            Action::Stay(i) => {
+            Action::ReturnPermit(i) => {
                 let process = &mut state.processes[i];
-                let heard = Rollout::restore(process.heard.as_deref()?).expect("own bytes");
-                let life = process.life;
-                state.under_way.push(process.holder.stays(&heard)?.write());
-                if self.0 == Plant::ActOnReturned {
-                    process.holder = Holder::new(&name(i), life);
+                let known_state =
+                    Rollout::restore(process.known_state.as_deref()?).expect("a snapshot decodes");
+                let incarnation = process.incarnation;
+                state.in_flight.push(process.holder.return_permit(&known_state)?.encode());
+                if self.0 == InjectedBug::UseReturnedPermit {
+                    process.holder = PermitHolder::new(&name(i), incarnation);
                 }
             }
             Action::Crash(i) => {
-                state.crashes -= 1;
+                state.crashes_left -= 1;
                 let process = &mut state.processes[i];
-                (process.runs, process.heard) = (false, None);
+                (process.runs, process.known_state) = (false, None);
             }
             Action::Restart(i) => {
-                state.restarts -= 1;
+                state.restarts_left -= 1;
                 let process = &mut state.processes[i];
-                (process.life, process.runs, process.by_permit) = (process.life + 1, true, false);
-                process.holder = Holder::new(&name(i), process.life);
+                (process.incarnation, process.runs, process.out_by_permit) =
+                    (process.incarnation + 1, true, false);
+                process.holder = PermitHolder::new(&name(i), process.incarnation);
             }
-            Action::Look(i) => {
-                state.looks -= 1;
+            Action::Report(i) => {
+                state.reports_left -= 1;
                 let process = &state.processes[i];
                 let standing = if process.runs { Standing::Serving } else { Standing::Absent };
-                let (hall, incarnation) = ("a".to_owned(), process.life);
+                let (hall, incarnation) = ("a".to_owned(), process.incarnation);
                 let seen = Command::Seen {
                     name: name(i),
                     hall,
@@ -266,63 +272,67 @@
                     settings: String::new(),
                     now_ms: 1,
                 };
-                state.under_way.push(seen.write());
+                state.in_flight.push(seen.encode());
             }
             Action::Expire => {
-                state.expiries -= 1;
-                state.under_way.push(Command::Time { now_ms: 5_000 }.write());
+                state.expiries_left -= 1;
+                state.in_flight.push(Command::Time { now_ms: 5_000 }.encode());
             }
             Action::NewLeader => {
-                state.leaders -= 1;
-                state.under_way.clear(); // what was not agreed may be lost
-                if self.0 == Plant::ForgetAfterRestart {
-                    let mut rollout = read(&state);
+                state.leader_changes_left -= 1;
+                state.in_flight.clear(); // commands that are not committed may be lost
+                if self.0 == InjectedBug::NewLeaderDropsPermits {
+                    let mut rollout = replicated_state(&state);
                     rollout.directors.values_mut().for_each(|d| d.permit = None);
-                    state.agreed = written(&rollout);
+                    state.replicated = canonical_bytes(&rollout);
                 }
             }
         }
-        state.under_way.sort(); // any of them may be agreed next: their order means nothing
+        state.in_flight.sort(); // any of them may be committed next, so their order is irrelevant
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("never more out by permit than the budget", |_, state: &State| {
-                state.processes.iter().filter(|p| p.by_permit).count() <= BUDGET
+                state.processes.iter().filter(|p| p.out_by_permit).count() <= BUDGET
             }),
-            Property::always("none given beside what is known to be out", |_, s: &State| !s.broken),
-            Property::sometimes("one leaves by permit and is back", |_, state: &State| {
-                let agreed = read(state);
-                agreed.last > 0 && agreed.directors.values().all(|d| !d.out() && agreed.halted.is_none())
+            Property::always("none granted beyond the budget of what is known to be out", |_, s: &State| {
+                !s.budget_exceeded
             }),
-            Property::sometimes("a second permit is given after the first is free", |_, state: &State| {
-                read(state).last == 2
+            Property::sometimes("a director leaves by permit and returns", |_, state: &State| {
+                let rollout = replicated_state(state);
+                rollout.last_permit > 0
+                    && rollout.directors.values().all(|d| !d.is_out() && rollout.halted.is_none())
             }),
+            Property::sometimes(
+                "a second permit is granted after the first is released",
+                |_, state: &State| replicated_state(state).last_permit == 2,
+            ),
         ]
     }
 }
 
 #[test]
-fn no_interleaving_passes_a_budget() {
-    let checker = World(Plant::Nothing).checker().threads(4).spawn_bfs().join();
+fn no_interleaving_exceeds_a_budget() {
+    let checker = PermitModel(InjectedBug::None).checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
 }
 
 #[test]
-fn each_planted_error_is_found() {
-    for plant in [
-        Plant::FreeOnExpiry,
-        Plant::CountOnlyPermits,
-        Plant::ForgetAfterRestart,
-        Plant::FreeOnAnySight,
-        Plant::ActOnReturned,
+fn the_model_check_finds_each_injected_bug() {
+    for bug in [
+        InjectedBug::ReleaseOnExpiry,
+        InjectedBug::IgnoreLostDirectors,
+        InjectedBug::NewLeaderDropsPermits,
+        InjectedBug::ReleaseOnAnyReport,
+        InjectedBug::UseReturnedPermit,
     ] {
         let any = HasDiscoveries::AnyFailures;
-        let checker = World(plant).checker().threads(4).finish_when(any).spawn_bfs().join();
+        let checker = PermitModel(bug).checker().threads(4).finish_when(any).spawn_bfs().join();
         let found = checker.discoveries();
-        let broken = found.keys().any(|name| name.starts_with("never") || name.starts_with("none"));
-        assert!(broken, "{plant:?} is not found");
+        let violated = found.keys().any(|name| name.starts_with("never") || name.starts_with("none"));
+        assert!(violated, "{bug:?} is not found");
     }
 }
