--- a/crates/lab/src/estates.rs
+++ b/crates/lab/src/estates.rs
@@ -81,7 +81,7 @@
 fn taken_over_once(book: &mut Book<'_>, control: &mut Option<Histogram<u64>>) {
     let history = book.history;
     let mut epochs: BTreeMap<u64, usize> = BTreeMap::new();
-    for l in history.log.iter().filter(|l| l.msg == "continuity: takeover complete") {
+    for l in history.log.iter().filter(|l| l.msg == "estate: taken over") {
         let epoch = l.keys.get("epoch").and_then(|e| e.as_u64()).unwrap_or(0);
         book.looked("taken_over_once", 0.0);
         if let Some(other) = epochs.insert(epoch, l.director) {
--- a/crates/lab/tests/estates.rs
+++ b/crates/lab/tests/estates.rs
@@ -37,7 +37,7 @@
         history.told.push(Told { id, at: T + 9 * S + 1_000 });
     }
     let keys: &[(&str, &str)] = &[("owner", "d2")];
-    let mut over = line(1, T + 7 * S, "continuity: takeover complete", keys);
+    let mut over = line(1, T + 7 * S, "estate: taken over", keys);
     over.keys.insert("epoch".into(), 1.into());
     history.log.push(over);
     history
@@ -72,7 +72,7 @@
 #[test]
 fn an_estate_that_two_take_over_is_caught() {
     caught_outlived("taken_over_once", |h| {
-        let mut over = line(0, T + 8 * S, "continuity: takeover complete", &[("owner", "d2")]);
+        let mut over = line(0, T + 8 * S, "estate: taken over", &[("owner", "d2")]);
         over.keys.insert("epoch".into(), 1.into());
         h.log.push(over);
     });
@@ -108,6 +108,6 @@
         h.acts.clear();
         h.set_ups.iter_mut().for_each(|s| s.by = None);
     });
-    caught_outlived("taken_over_once", |h| h.log.retain(|l| l.msg != "continuity: takeover complete"));
+    caught_outlived("taken_over_once", |h| h.log.retain(|l| l.msg != "estate: taken over"));
     caught_outlived("plays_on", |h| h.set_ups.truncate(5));
 }
--- a/src/net/hand.rs
+++ b/src/net/hand.rs
@@ -320,7 +320,7 @@
                 Some(false) => "some",
                 None => "nothing",
             };
-            info!(log, "continuity: takeover complete"; "at_us" => now, "owner" => owner, "epoch" => epoch,
+            info!(log, "estate: taken over"; "at_us" => now, "owner" => owner, "epoch" => epoch,
                 "sessions" => sessions, "out" => out, "kept" => kept);
         }
         LogEvent::ReplicasChosen(names) => {
