--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -40,7 +40,7 @@
 
 /// A connection of a client.
 struct AdminConnection {
-    line: Connection,
+    socket: Connection,
     accepted_at: Micros,
     state: RequestState,
 }
@@ -65,11 +65,11 @@
             }
             match self.listener.source().accept() {
                 Ok((stream, _)) => match Connection::accepted(&mut shared.poll, stream) {
-                    Ok(line) => {
-                        let token = line.token();
+                    Ok(socket) => {
+                        let token = socket.token();
                         self.connections.insert(
                             token,
-                            AdminConnection { line, accepted_at: shared.now, state: RequestState::Reading },
+                            AdminConnection { socket, accepted_at: shared.now, state: RequestState::Reading },
                         );
                         shared.schedule(MAX_CONNECTION_AGE_US, Deadline::AdminConnection(token));
                         // The request has usually arrived already.
@@ -105,7 +105,7 @@
             .values()
             .filter(evictable)
             .min_by_key(|connection| (connection.state == RequestState::Reading, connection.accepted_at));
-        let oldest = oldest.map(|connection| connection.line.token());
+        let oldest = oldest.map(|connection| connection.socket.token());
         oldest.inspect(|token| self.close(shared, *token)).is_some()
     }
 
@@ -126,13 +126,13 @@
             self.flush(shared, token);
         }
         let Some(connection) = self.connections.get_mut(&token).filter(|_| readable) else { return };
-        let read_result = connection.line.read();
+        let read_result = connection.socket.read();
         if connection.state != RequestState::Reading {
             // One request per connection. Further input is read and discarded, so that the client can read
             // its response.
-            connection.line.discard_read();
+            connection.socket.discard_read();
         } else {
-            match connection.line.take_message(admin::parse_request) {
+            match connection.socket.take_message(admin::parse_request) {
                 Ok(Some(request)) => {
                     shared.counters.calls += 1;
                     connection.state = RequestState::Pending;
@@ -145,7 +145,7 @@
         // A client that has shut down its sending side may still read the response.
         let finished = |connection: &AdminConnection| {
             connection.state == RequestState::Reading
-                || (connection.state == RequestState::Responded && connection.line.unwritten_len() == 0)
+                || (connection.state == RequestState::Responded && connection.socket.unwritten_len() == 0)
         };
         let ended =
             matches!(read_result, Ok(ReadOutcome::Eof)) && self.connections.get(&token).is_some_and(finished);
@@ -164,7 +164,7 @@
     pub fn respond(&mut self, shared: &mut Shared, token: Token, status: u16, body: &str) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.state = RequestState::Responded;
-        connection.line.queue(&admin::encode_response(status, body));
+        connection.socket.queue(&admin::encode_response(status, body));
         self.flush(shared, token);
     }
 
@@ -174,8 +174,8 @@
         else {
             return;
         };
-        let result = match connection.line.write() {
-            Ok(true) => connection.line.shutdown_write(),
+        let result = match connection.socket.write() {
+            Ok(true) => connection.socket.shutdown_write(),
             Ok(false) => return,
             Err(error) => Err(error),
         };
--- a/src/net/streamers/exchange.rs
+++ b/src/net/streamers/io.rs
@@ -3,7 +3,7 @@
 use super::super::connection::ReadOutcome;
 use super::super::poll::Token;
 use super::super::shared::Shared;
-use super::link::{MessageInProgress, QueuedMessage};
+use super::connection::{MessageInProgress, QueuedMessage};
 use super::{MAX_QUEUED_MESSAGES, Streamers};
 use crate::director::{Attempt, Input, UnsentReason};
 use crate::interface::{LoadReport, Outcome, Standing};
--- a/src/net/streamers/mod.rs
+++ b/src/net/streamers/mod.rs
@@ -1,8 +1,8 @@
 //! Connections to streamers: a pool per listed streamer, the messages queued on its connections, and the
 //! detection of lost streamers as opposed to silent ones. The core decides which streamer receives what.
-mod exchange;
-mod link;
-mod ways;
+mod connection;
+mod io;
+mod pool;
 
 use super::component::{Component, Ready};
 use super::poll::Token;
@@ -11,7 +11,7 @@
 use crate::interface::{Entry, ListScope, LoadReport, Micros, Outcome, RequestId, Standing, StreamerId};
 use crate::platform::rtsp;
 use crate::settings::TransportSettings;
-use link::{MessageInProgress, QueuedMessage, StreamerConnection};
+use connection::{MessageInProgress, QueuedMessage, StreamerConnection};
 use slog::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/pool.rs
@@ -2,7 +2,7 @@
 use super::super::connection::Connection;
 use super::super::poll::Token;
 use super::super::shared::{Deadline, Shared};
-use super::link::StreamerConnection;
+use super::connection::StreamerConnection;
 use super::{
     CONTROL_REDIAL_DELAY_US, MAX_CANCELLED_SET_UPS, MAX_QUEUED_MESSAGES, Pool, RECENT_INPUT_US,
     REDIAL_INTERVAL_US, REFUSED_LOST_US, SILENCE_CHECK_US, UNREACHABLE_LOST_US,
--- a/src/net/viewers/closing.rs
+++ b/src/net/viewers/closing.rs
@@ -80,18 +80,20 @@
                 continue;
             };
             let pending = director.requests_and_sessions_on(ViewerLink(token)).0 > 0
-                || connection.line.unwritten_len() > 0;
+                || connection.socket.unwritten_len() > 0;
             let within = |timeout: Micros| since.saturating_add(timeout) > shared.now;
             let may_await_partial = connection.accepts_messages() && within(PARTIAL_MESSAGE_WAIT_US);
             let keeps_reading = reason == CloseReason::End && within(SHUTDOWN_READ_LIMIT_US);
             if pending
-                || may_await_partial && connection.line.has_partial_message()
+                || may_await_partial && connection.socket.has_partial_message()
                 || keeps_reading && self.read_before_close(shared, token)
             {
                 continue;
             }
-            let has_partial =
-                self.connections.get(&token).is_some_and(|connection| connection.line.has_partial_message());
+            let has_partial = self
+                .connections
+                .get(&token)
+                .is_some_and(|connection| connection.socket.has_partial_message());
             if !(may_await_partial && has_partial) {
                 self.shut_down_write(shared, token, reason);
             }
@@ -104,7 +106,7 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         debug!(shared.log, "viewer connection shut down for writing"; "connection" => token,
             "why" => ?reason);
-        if connection.line.shutdown_write().is_err() {
+        if connection.socket.shutdown_write().is_err() {
             return self.close(shared, token, reason); // the connection has failed
         }
         let deadline = shared.now.saturating_add(PEER_CLOSE_TIMEOUT_US);
--- a/src/net/viewers/connection.rs
+++ b/src/net/viewers/connection.rs
@@ -87,7 +87,7 @@
 
 /// A viewer connection.
 pub struct ViewerConnection {
-    pub line: Connection,
+    pub socket: Connection,
     pub accepted_at: Micros,
     /// When a complete message was last read; initially when the connection was accepted.
     pub last_message_at: Micros,
@@ -122,9 +122,9 @@
 
 impl ViewerConnection {
     /// Creates the state of a connection that was just accepted.
-    pub fn new(line: Connection, now: Micros) -> Self {
+    pub fn new(socket: Connection, now: Micros) -> Self {
         ViewerConnection {
-            line,
+            socket,
             accepted_at: now,
             last_message_at: now,
             stalled: None,
@@ -144,7 +144,7 @@
 
     /// Updates the receive times after a read. `has_messages` says whether it completed any message.
     pub fn record_read(&mut self, now: Micros, has_messages: bool) {
-        let read_total = self.line.read_total();
+        let read_total = self.socket.read_total();
         if std::mem::replace(&mut self.read_total, read_total) == read_total {
             return;
         }
@@ -152,7 +152,7 @@
             self.last_message_at = now;
             self.partial = None;
         }
-        if self.line.has_partial_message() {
+        if self.socket.has_partial_message() {
             let started_at = self.partial.map_or(now, |partial| partial.started_at);
             self.partial = Some(PartialMessage { started_at, last_read_at: now });
         }
@@ -187,7 +187,7 @@
         }
         let past_grace = self.answered || self.accepted_at.saturating_add(NEW_CONNECTION_GRACE_US) <= now;
         let is_reading =
-            self.line.unwritten_len() > 0 && self.last_message_at.saturating_add(IDLE_TIMEOUT_US) > now;
+            self.socket.unwritten_len() > 0 && self.last_message_at.saturating_add(IDLE_TIMEOUT_US) > now;
         past_grace && !is_reading && !self.broken && self.last_message_at < now
     }
 
@@ -208,12 +208,12 @@
     /// Queues a message for writing. `tracked` describes it if it must not be lost with the connection.
     pub fn queue(&mut self, bytes: &[u8], tracked: Option<UnsentMessage>) {
         self.answered = true;
-        let written_total = self.line.written_total();
+        let written_total = self.socket.written_total();
         while self.unsent.front().is_some_and(|(end, _)| *end <= written_total) {
             self.unsent.pop_front();
         }
-        self.line.queue(bytes);
-        let end = self.line.queued_total();
+        self.socket.queue(bytes);
+        let end = self.socket.queued_total();
         self.unsent.extend(tracked.map(|message| (end, message)));
     }
 
@@ -240,7 +240,7 @@
 
     /// Returns the tracked messages that have not been written completely.
     pub fn into_unsent(self) -> impl Iterator<Item = UnsentMessage> {
-        let written_total = self.line.written_total();
+        let written_total = self.socket.written_total();
         self.unsent.into_iter().filter(move |(end, _)| *end > written_total).map(|(_, message)| message)
     }
 }
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -103,15 +103,15 @@
     }
 
     fn add_connection(&mut self, shared: &mut Shared, stream: TcpStream) {
-        let line = match Connection::accepted(&mut shared.poll, stream) {
-            Ok(line) => line,
+        let socket = match Connection::accepted(&mut shared.poll, stream) {
+            Ok(socket) => socket,
             Err(error) => {
                 return warn!(shared.log, "cannot set up an accepted viewer connection: {error}");
             }
         };
         shared.counters.viewer_connections += 1;
-        let token = line.token();
-        self.connections.insert(token, ViewerConnection::new(line, shared.now));
+        let token = socket.token();
+        self.connections.insert(token, ViewerConnection::new(socket, shared.now));
         shared.schedule(MESSAGE_TIMEOUT_US, Deadline::ViewerConnection(token));
     }
 
@@ -210,13 +210,13 @@
             let past_grace =
                 c.answered || c.accepted_at.saturating_add(NEW_CONNECTION_GRACE_US) <= shared.now;
             let (pending, sessions) = director.requests_and_sessions_on(ViewerLink(*token));
-            let idle = c.state == ConnectionState::Open && past_grace && c.line.unwritten_len() == 0;
+            let idle = c.state == ConnectionState::Open && past_grace && c.socket.unwritten_len() == 0;
             (pending == 0 && (all || sessions == 0) && idle).then_some(*token)
         };
         let idle_tokens: Vec<Token> = self.connections.iter().filter_map(if_idle).collect();
         for token in idle_tokens {
             let received = self.read_before_close(shared, token);
-            let has_partial = self.connections.get(&token).is_some_and(|c| c.line.has_partial_message());
+            let has_partial = self.connections.get(&token).is_some_and(|c| c.socket.has_partial_message());
             if !received && !has_partial {
                 shared.counters.viewers_sent_away += 1;
                 self.shut_down_write(shared, token, CloseReason::Drain);
@@ -240,24 +240,24 @@
     /// notice if the viewer has closed the connection.
     fn read_and_write(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        if writable && let Err(error) = connection.line.write() {
+        if writable && let Err(error) = connection.socket.write() {
             debug!(shared.log, "viewer connection failed: {error}");
             (connection.broken, connection.reset) = (true, true); // data received before is still processed
         }
         if !readable && !connection.broken {
             return self.resume_reading(shared, token);
         }
-        let read_result = connection.line.read();
+        let read_result = connection.socket.read();
         connection.reset |= read_result.is_err();
         if !connection.accepts_messages() {
-            connection.line.discard_read();
+            connection.socket.discard_read();
             connection.broken |= !matches!(read_result, Ok(ReadOutcome::Open));
             if connection.broken {
                 shared.events.push(Event::ViewerClosed(token));
             }
             return;
         }
-        let (messages, parse_error) = connection.line.take_messages(viewer::read);
+        let (messages, parse_error) = connection.socket.take_messages(viewer::read);
         connection.record_read(shared.now, !messages.is_empty());
         let newly_identified =
             !connection.is_viewer && messages.iter().any(|m| matches!(m, ViewerMessage::SetUp(_)));
@@ -267,7 +267,7 @@
         if let Some(error) = parse_error {
             shared.counters.malformed += 1;
             debug!(shared.log, "closing a viewer connection after a malformed message: {error}");
-            connection.line.discard_read();
+            connection.socket.discard_read();
             self.begin_close(shared, token, CloseReason::Malformed);
         }
         if let Err(error) = &read_result {
--- a/src/net/viewers/sends.rs
+++ b/src/net/viewers/sends.rs
@@ -94,8 +94,8 @@
     /// it are processed. Reading is paused while the client does not read.
     fn flush(&mut self, shared: &mut Shared, token: Token) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        match connection.line.write() {
-            Ok(_) if connection.line.unwritten_len() <= MAX_UNWRITTEN_BYTES => {}
+        match connection.socket.write() {
+            Ok(_) if connection.socket.unwritten_len() <= MAX_UNWRITTEN_BYTES => {}
             Ok(_) => self.pause_reading(shared, token),
             Err(error) => {
                 debug!(shared.log, "viewer connection failed: {error}");
@@ -114,8 +114,8 @@
         warn!(shared.log, "viewer connection stalled; reading from it is paused";
             "connection" => token);
         connection.stalled =
-            Some(Stall { since: shared.now, written_total: connection.line.written_total() });
-        if connection.line.set_read_interest(false).is_err() {
+            Some(Stall { since: shared.now, written_total: connection.socket.written_total() });
+        if connection.socket.set_read_interest(false).is_err() {
             self.mark_broken(shared, token);
         }
     }
@@ -123,10 +123,10 @@
     /// Resumes reading once the client has read enough of the pending data.
     pub(super) fn resume_reading(&mut self, shared: &mut Shared, token: Token) {
         let may_resume =
-            |c: &ViewerConnection| c.stalled.is_some() && c.line.unwritten_len() <= MAX_UNWRITTEN_BYTES;
+            |c: &ViewerConnection| c.stalled.is_some() && c.socket.unwritten_len() <= MAX_UNWRITTEN_BYTES;
         let Some(connection) = self.connections.get_mut(&token).filter(|c| may_resume(c)) else { return };
         connection.stalled = None;
-        if connection.line.set_read_interest(true).is_err() {
+        if connection.socket.set_read_interest(true).is_err() {
             self.mark_broken(shared, token);
         }
     }
@@ -136,7 +136,7 @@
     pub(super) fn close_stalled(&mut self, shared: &mut Shared, token: Token) -> bool {
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let Some(stall) = &mut connection.stalled else { return false };
-        let written_total = connection.line.written_total();
+        let written_total = connection.socket.written_total();
         if std::mem::replace(&mut stall.written_total, written_total) != written_total {
             stall.since = shared.now;
         }
@@ -159,7 +159,7 @@
 
     /// Returns whether a connection that has not failed has unwritten data.
     pub fn has_pending_writes(&self) -> bool {
-        self.connections.values().any(|c| !c.broken && c.line.unwritten_len() > 0)
+        self.connections.values().any(|c| !c.broken && c.socket.unwritten_len() > 0)
     }
 
     /// Removes a connection. Its pending requests end, undelivered answers are reported to the core, and
@@ -167,7 +167,7 @@
     pub(super) fn close(&mut self, shared: &mut Shared, token: Token, reason: CloseReason) {
         let Some(connection) = self.connections.remove(&token) else { return };
         debug!(shared.log, "viewer connection closed"; "connection" => token,
-            "why" => ?reason, "unwritten" => connection.line.unwritten_len());
+            "why" => ?reason, "unwritten" => connection.socket.unwritten_len());
         shared.inputs.push(Input::LinkLost(ViewerLink(token)));
         let unread = connection.possibly_unread_answers(shared.now);
         for unsent in connection.into_unsent() {
