--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,6 @@
 //! The server of the admin interface: its listener and its connections.
 //!
-//! It owns the sockets and their timeouts; requests are passed on as [`Event::AdminCall`] and carried out
+//! It owns the sockets and their timeouts; requests are passed on as [`Event::AdminRequest`] and carried out
 //! elsewhere. An idle connection holds a slot for a limited time, and is evicted for a new one when all slots
 //! are in use.
 use super::component::{Component, Ready};
@@ -136,7 +136,7 @@
                 Ok(Some(request)) => {
                     shared.counters.calls += 1;
                     connection.state = RequestState::Pending;
-                    shared.events.push(Event::AdminCall(token, request));
+                    shared.events.push(Event::AdminRequest(token, request));
                 }
                 Ok(None) => {}
                 Err(error) => self.reject(shared, token, error),
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -51,8 +51,8 @@
 
 impl Node {
     /// Answers a call at the admin interface.
-    pub(super) fn handle_admin_call(&mut self, token: Token, call: AdminRequest) {
-        let (status, body) = match call {
+    pub(super) fn handle_admin_request(&mut self, token: Token, request: AdminRequest) {
+        let (status, body) = match request {
             AdminRequest::Ready if self.lifecycle.accepts_clients() => (200, "takes clients\n".to_owned()),
             AdminRequest::Ready => (503, "takes no clients\n".to_owned()),
             AdminRequest::Vars => (200, self.render_metrics()),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -178,8 +178,8 @@
                 Event::ViewerClosed(token) => {
                     self.components.viewers.handle_peer_close(&mut self.shared, token)
                 }
-                Event::Discovery(notice) => self.handle_discovery_event(&notice, false),
-                Event::AdminCall(token, call) => self.handle_admin_call(token, call),
+                Event::Discovery(update) => self.handle_discovery_event(&update, false),
+                Event::AdminRequest(token, request) => self.handle_admin_request(token, request),
             }
         }
     }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -52,7 +52,7 @@
     /// An event from discovery.
     Discovery(discovery::Event),
     /// A call at the admin interface.
-    AdminCall(Token, AdminRequest),
+    AdminRequest(Token, AdminRequest),
 }
 
 /// State that the components share, and the inputs and events that they have queued.
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -231,7 +231,7 @@
             phase: ShutdownPhase::Serving,
             tracing: false,
         };
-        config.known.events.iter().for_each(|notice| node.handle_discovery_event(notice, true));
+        config.known.events.iter().for_each(|event| node.handle_discovery_event(event, true));
         node.components.discovery.check_deadline(&mut node.shared);
         node.components.streamers.start(&mut node.shared);
         Ok(node)
