--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Applies the director's lifecycle to its sockets: admin calls, closing viewer connections, and shutdown.
+//! Applies the director's lifecycle to its sockets: admin requests, closing viewer connections, and shutdown.
 //!
 //! The lifecycle itself is decided in the core (`director::Lifecycle`).
 use super::poll::Token;
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    /// Answers a call at the admin interface.
+    /// Answers a request at the admin interface.
     pub(super) fn handle_admin_request(&mut self, token: Token, request: AdminRequest) {
         let (status, body) = match request {
             AdminRequest::Ready if self.lifecycle.accepts_clients() => (200, "takes clients\n".to_owned()),
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -51,7 +51,7 @@
     ViewerClosed(Token),
     /// An event from discovery.
     Discovery(discovery::Event),
-    /// A call at the admin interface.
+    /// A request at the admin interface.
     AdminRequest(Token, AdminRequest),
 }
 
--- a/src/net/streamers/pool.rs
+++ b/src/net/streamers/pool.rs
@@ -1,4 +1,5 @@
-//! Choice of connections to streamers, dialling and redialling, and detection of lost streamers.
+//! The connection pools of the streamers: choice of a connection, dialling and redialling, and detection of
+//! lost streamers.
 use super::super::connection::Connection;
 use super::super::poll::Token;
 use super::super::shared::{Deadline, Shared};
--- a/src/net/viewers/mod.rs
+++ b/src/net/viewers/mod.rs
@@ -236,8 +236,8 @@
         self.accept(shared, director);
     }
 
-    /// Reads from and writes to a connection that is ready. Complete messages are passed on, followed by a
-    /// notice if the viewer has closed the connection.
+    /// Reads from and writes to a connection that is ready. Complete messages are passed on, followed by
+    /// [`Event::ViewerClosed`] if the viewer has closed the connection.
     fn read_and_write(&mut self, shared: &mut Shared, Ready { token, readable, writable }: Ready) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if writable && let Err(error) = connection.socket.write() {
