--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -51,8 +51,8 @@
     ViewerClosed(Token),
     /// An event from discovery.
     Discovery(discovery::Event),
-    /// A call at the admin interface.
-    AdminCall(Token, AdminRequest),
+    /// A request at the admin interface.
+    AdminRequest(Token, AdminRequest),
 }
 
 /// State that the components share, and the inputs and events that they have queued.
--- a/src/net/streamers/ways.rs
+++ b/src/net/streamers/pool.rs
@@ -1,8 +1,9 @@
-//! Choice of connections to streamers, dialling and redialling, and detection of lost streamers.
+//! The connection pools of the streamers: choice of a connection, dialling and redialling, and detection of
+//! lost streamers.
 use super::super::connection::Connection;
 use super::super::poll::Token;
 use super::super::shared::{Deadline, Shared};
-use super::link::StreamerConnection;
+use super::connection::StreamerConnection;
 use super::{
     CONTROL_REDIAL_DELAY_US, MAX_CANCELLED_SET_UPS, MAX_QUEUED_MESSAGES, Pool, RECENT_INPUT_US,
     REDIAL_INTERVAL_US, REFUSED_LOST_US, SILENCE_CHECK_US, UNREACHABLE_LOST_US,
