--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -361,12 +361,12 @@
 #[test]
 fn an_upgrade_whose_new_process_fails_to_start_changes_nothing() {
     let OldProcess { socket, old, mut viewer, mut streamer } = start_old_process();
-    let output = std::process::Command::new(env!("CARGO_BIN_EXE_stonewharf"))
+    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_stonewharf"));
+    command
         .env("LB_CONFIG", old.folder.join("config.json"))
         .env("LB_ADMIN_ADDR", old.admin.expect("an admin address").to_string()) // in use
-        .env("LB_INHERITED_FD", std::os::fd::AsRawFd::as_raw_fd(&socket).to_string())
-        .output()
-        .expect("ran");
+        .env("LB_INHERITED_FD", std::os::fd::AsRawFd::as_raw_fd(&socket).to_string());
+    let output = inherit::start_with(Some(&socket), || command.output()).expect("ran");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success() && stderr.contains("can't listen on"), "{stderr}");
     streamer.write_all(&established_response(0xc2, "answer")).expect("written");
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -2,6 +2,7 @@
 //!
 //! Every wait ends with an observable event. The time limits only bound waits for events that never happen.
 #![allow(dead_code)]
+pub mod inherit;
 mod unread_answers;
 
 use crate::common;
@@ -258,7 +259,6 @@
         }
         if let Some(inherited) = inherited {
             // The child inherits the descriptor under the same number.
-            rustix::io::fcntl_setfd(inherited, rustix::io::FdFlags::empty()).expect("made inheritable");
             command.env("LB_INHERITED_FD", inherited.as_raw_fd().to_string());
             // Processes that inherit the same socket share a folder.
             let shared = std::env::temp_dir().join(format!(
@@ -269,7 +269,7 @@
             std::fs::create_dir_all(&shared).expect("a folder");
             command.env("TMPDIR", shared);
         }
-        let mut child = command.spawn().expect("started");
+        let mut child = inherit::start_with(inherited, || command.spawn()).expect("started");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         let admin = admin.then(|| parse_address(&next_line(&mut log, "admin interface listens")));
         let address = parse_address(&next_line(&mut log, "serves"));
